--- a/bench/decision_costs.py
+++ b/bench/decision_costs.py
@@ -23,9 +23,9 @@
 
 from brief_measures import engine_of, site_hosts
 from violethatch import clocks
+from violethatch._flow_control import FlowController
 from violethatch._hosts import Host
 from violethatch._path_choice import PathChoice
-from violethatch._word_gate import WordGate
 from violethatch.backends import BackendServer, BackendTable
 from violethatch.desired import ServiceSpec
 from violethatch.engine_model import EngineSpec
@@ -114,7 +114,7 @@
         servers[0].availability_zone,
         backends=backends,
         health=RunnerHealth(),
-        gate=WordGate(backends, rng=random.Random(1)),
+        flow_control=FlowController(backends, rng=random.Random(1)),
         paces=RunnerPaces(),
         loads=loads,
         pipe=PipeShare(random.Random(1)),
@@ -149,7 +149,7 @@
     health = RunnerHealth()
     share = RetryShare(RetryBudget(ratio=0.1, reserve=3.0))
 
-    gate = WordGate(BackendTable(), rng=random.Random(1))
+    gate = FlowController(BackendTable(), rng=random.Random(1))
     rows_listed = listed_rows(servers)
     decoder = WireDecoder()
 
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from violethatch.limit_permits import SPAN_S, PermitKeeper, PermitStock
+from violethatch.limit_permits import WINDOW_S, PermitCache, PermitIssuer
 
 
 #: Requests a second that would go to the server, of each instance.
@@ -132,18 +132,18 @@
 
     def __init__(self, instances: int, per_s: float, rng: random.Random) -> None:
         super().__init__(instances, per_s, rng)
-        self._keeper = PermitKeeper(rng=rng, now_s=0.0)
-        self._stocks = [PermitStock() for _ in range(instances)]
+        self._keeper = PermitIssuer(rng=rng, now_s=0.0)
+        self._stocks = [PermitCache() for _ in range(instances)]
 
     def may_send(self, one: int, now_s: float) -> bool:
         """Ask the keeper, unless it has told to wait."""
-        if self._stocks[one].closed_s(now_s=now_s):
+        if self._stocks[one].blocked_s(now_s=now_s):
             return False
         self.datagrams += 2
-        reply = self._keeper.ask(str(one), self.per_s, now_s=now_s)
-        if not reply.is_given:
-            self._stocks[one].close("s", reply.wait_s, now_s=now_s)
-        return reply.is_given
+        reply = self._keeper.request(str(one), self.per_s, now_s=now_s)
+        if not reply.is_granted:
+            self._stocks[one].block("s", reply.wait_s, now_s=now_s)
+        return reply.is_granted
 
 
 def most_within(times_s: list[float], span_s: float) -> int:
@@ -179,7 +179,7 @@
             sent_s.append(now_s)
     counted = [at_s for at_s in sent_s if at_s >= _COUNTED_S]
     used_part = len(counted) / (_LASTS_S - _COUNTED_S) / per_s
-    return Outcome(most_within(sent_s, SPAN_S), used_part, way.datagrams / _LASTS_S)
+    return Outcome(most_within(sent_s, WINDOW_S), used_part, way.datagrams / _LASTS_S)
 
 
 def main() -> None:
@@ -194,7 +194,7 @@
                     got = replay(make, instances, per_s, is_even=is_even, seed=seed)
                     cells = (
                         instances,
-                        f"{per_s:g}, {SPAN_S * per_s:.1f}",
+                        f"{per_s:g}, {WINDOW_S * per_s:.1f}",
                         "even" if is_even else "at one",
                         make.__name__,
                         got.most,
--- a/spec/rests.pml
+++ b/spec/rests.pml
@@ -34,7 +34,7 @@
 byte born = NONE;
 byte listed = 0;
 
-/* server_words.Rest: which start was listed, when it was asked, until when it binds. */
+/* server_backoffs.Rest: which start was listed, when it was asked, until when it binds. */
 byte rest_start = NONE;
 byte rest_sent = 0;
 byte rest_until = 0;
@@ -47,7 +47,7 @@
 byte promised_until[2];
 bool heard_leaving[2];
 
-/* server_words.is_word_of */
+/* server_backoffs.may_come_from_start */
 #ifdef AS_LISTED
 #define IS_OF(said_listed, sent, of_start) (said_listed == of_start)
 #else
@@ -87,8 +87,8 @@
 #endif
 }
 
-/* WordGate.heard: what a start has said in the head of an answer to a request that was
- * sent when another may have been listed. */
+/* FlowController.record_signals: what a start has said in the head of an answer to a
+ * request that was sent when another may have been listed. */
 inline hear(from, said_listed, sent, asked, leaves) {
   if
   :: asked > 0 && now + asked > promised_until[from] ->
--- a/src/violethatch/_word_gate.py
+++ b/src/violethatch/_flow_control.py
@@ -15,12 +15,12 @@
 from typing import Any, NamedTuple
 
 from . import clocks, events
-from ._limit_gate import LimitGate
+from ._limit_enforcement import LimitGate
 from .backends import BackendServer, BackendTable
 from .limit_permits import Permit
+from .server_backoffs import Rest, ServerBackoffs
 from .server_limits import Limit
-from .server_words import Rest, ServerWords
-from .upstream import KeptBackError, Sending, ServerWord
+from .upstream import KeptBackError, Sending, ServerSignals
 
 
 #: The most servers that one line names.
@@ -38,7 +38,7 @@
     limit: Limit | None = None
 
 
-class WordGate:
+class FlowController:
     """Keeps rests and departures that servers have told this instance.
 
     Args:
@@ -48,16 +48,18 @@
 
     def __init__(self, backends: BackendTable, *, rng: random.Random) -> None:
         self._backends = backends
-        self.words = ServerWords(rng)
+        self.backoffs = ServerBackoffs(rng)
         self.limits = LimitGate(backends, rng=rng)
         #: Words that nothing reads, of which a line was logged.
         self._unknown: set[str] = set()
         #: Told of each word's kind: rest, wish, leaving, limit, unread, unknown.
-        self.on_word: Callable[[str], None] = lambda _kind: None
+        self.on_signal: Callable[[str], None] = lambda _kind: None
         #: Told of what is kept back, and why.
-        self.on_kept_back: Callable[[Sending, str], None] = lambda _what, _why: None
+        self.on_send_rejected: Callable[[Sending, str], None] = lambda _what, _why: None
         #: Told of a server that wishes for less, and for how long, in seconds.
-        self.on_wish: Callable[[BackendServer, float], None] = lambda _one, _s: None
+        self.on_advisory_backoff: Callable[[BackendServer, float], None] = (
+            lambda _one, _s: None
+        )
         #: Told of a server that is leaving, where that is news.
         self.on_leaving: Callable[[BackendServer], None] = lambda _one: None
 
@@ -112,7 +114,7 @@
             kept = _Kept("limit", limit=limit)
         self._check(kept, server, sending, request_id)
         if sending is Sending.CALL:
-            self.words.sent(server.id, now_s=now_s)
+            self.backoffs.record_send(server.id, now_s=now_s)
 
     def settle(
         self, server: BackendServer, permit: Permit | None, *, was_written: bool
@@ -134,7 +136,7 @@
         """
         if kept is None:
             return
-        self.on_kept_back(sending, kept.reason)
+        self.on_send_rejected(sending, kept.reason)
         events.log(
             events.SEND_KEPT_BACK,
             request_id=request_id,
@@ -147,45 +149,47 @@
         )
         raise KeptBackError(kept.reason, kept.left_s)
 
-    def heard(self, server: BackendServer, word: ServerWord, request_id: str) -> None:
+    def record_signals(
+        self, server: BackendServer, signals: ServerSignals, request_id: str
+    ) -> None:
         """Take a server's word in, as soon as an answer's head is there."""
         now_s = clocks.now_s()
-        if word.rest_s is None:
-            self.words.answered(server.id, now_s=now_s)
-        self._note_unknown(server, word, request_id)
-        if word.named_limit_a_s is not None:
-            self.on_word("limit")
-        self.limits.heard(server, word, request_id)
-        if not word.is_said:
+        if signals.backoff_s is None:
+            self.backoffs.record_response(server.id, now_s=now_s)
+        self._note_unknown(server, signals, request_id)
+        if signals.finite_limit_per_s is not None:
+            self.on_signal("limit")
+        self.limits.heard(server, signals, request_id)
+        if not signals.has_signals:
             return
-        is_longer = self._take_rest(server, word, request_id, now_s=now_s)
-        is_news = word.is_leaving and self._note_leaving(server, word.sent_ms)
-        if word.unread:
-            self.on_word("unread")
+        is_longer = self._take_rest(server, signals, request_id, now_s=now_s)
+        is_news = signals.is_leaving and self._note_leaving(server, signals.sent_ms)
+        if signals.invalid:
+            self.on_signal("unread")
         events.log(
             events.SERVER_WORD,
             request_id=request_id,
             server_id=server.id,
             lifetime=server.lifetime,
-            status=word.status,
-            asks_rest_s=word.rest_s,
-            is_binding=word.is_binding,
+            status=signals.status,
+            asks_rest_s=signals.backoff_s,
+            is_binding=signals.is_binding,
             is_longer=is_longer,
-            says_leaving=word.is_leaving,
+            says_leaving=signals.is_leaving,
             is_news=is_news,
-            unread=word.unread,
+            unread=signals.invalid,
         )
 
     def _limit_of(self, server: BackendServer) -> Limit | None:
         """Return the limit that binds towards a server, if it has named one."""
-        return self.limits.limit_of(server.id, born_ms=server.born_ms)
+        return self.limits.limit_of(server.id, started_ms=server.started_ms)
 
     def _note_unknown(
-        self, server: BackendServer, word: ServerWord, request_id: str
+        self, server: BackendServer, word: ServerSignals, request_id: str
     ) -> None:
         """Count words that nothing reads; log each once, so that it is seen early."""
-        for name in word.unknown:
-            self.on_word("unknown")
+        for name in word.unknown_headers:
+            self.on_signal("unknown")
             if name in self._unknown or len(self._unknown) >= _MOST_UNKNOWN:
                 continue
             self._unknown.add(name)
@@ -198,52 +202,62 @@
             )
 
     def _take_rest(
-        self, server: BackendServer, word: ServerWord, request_id: str, *, now_s: float
+        self,
+        server: BackendServer,
+        word: ServerSignals,
+        request_id: str,
+        *,
+        now_s: float,
     ) -> bool:
         """Take in for how long a server wants nothing; tell whether that is longer."""
-        if word.rest_s is None:
+        if word.backoff_s is None:
             return False
         if not word.is_binding:
-            self.on_word("wish")
-            self.on_wish(server, word.rest_s)
+            self.on_signal("wish")
+            self.on_advisory_backoff(server, word.backoff_s)
             return False
-        self.on_word("rest")
+        self.on_signal("rest")
         return self._ask_rest(server, word, request_id, now_s=now_s)
 
     def _ask_rest(
-        self, server: BackendServer, word: ServerWord, request_id: str, *, now_s: float
+        self,
+        server: BackendServer,
+        word: ServerSignals,
+        request_id: str,
+        *,
+        now_s: float,
     ) -> bool:
         """Keep a rest that a server asks for; tell whether that is longer."""
-        return self.words.ask_rest(
+        return self.backoffs.record(
             server.id,
-            word.rest_s or 0.0,
-            born_ms=server.born_ms,
+            word.backoff_s or 0.0,
+            started_ms=server.started_ms,
             sent_ms=word.sent_ms,
             request_id=request_id,
             now_s=now_s,
         )
 
-    def pass_on_rest(
-        self, server: BackendServer, word: ServerWord, request_id: str
+    def record_forwarded_backoff(
+        self, server: BackendServer, word: ServerSignals, request_id: str
     ) -> None:
         """Leave a later server of a path alone too, whose word the first passed on.
 
         The first one has answered: it is left alone for that as well.
         """
-        if word.rest_s is not None and word.is_binding:
+        if word.backoff_s is not None and word.is_binding:
             self._ask_rest(server, word, request_id, now_s=clocks.now_s())
 
     def _note_leaving(self, server: BackendServer, sent_ms: int) -> bool:
         """Note a server's word that it leaves; tell whether that is news."""
         is_news = self._backends.note_leaving(
-            server.id, server.born_ms, sent_ms=sent_ms, now_s=clocks.now_s()
+            server.id, server.started_ms, sent_ms=sent_ms, now_s=clocks.now_s()
         )
         if is_news:
-            self.on_word("leaving")
+            self.on_signal("leaving")
             self.on_leaving(server)
         return is_news
 
-    def bound(self, *, priority: int = 0, now_s: float) -> dict[str, float]:
+    def blocked_s(self, *, priority: int = 0, now_s: float) -> dict[str, float]:
         """Return, by server that nothing may be sent to, for how many seconds more.
 
         Args:
@@ -259,7 +273,7 @@
         """Return, by server that has asked for rest, for how many seconds more."""
         return {
             server_id: rest.until_s - now_s
-            for server_id, rest in self.words.known().items()
+            for server_id, rest in self.backoffs.known().items()
             if now_s < rest.until_s and self._is_its_word(server_id, rest)
         }
 
@@ -267,24 +281,24 @@
         """Return servers to send to only where there is no other, rests included."""
         resting = frozenset(
             server_id
-            for server_id, rest in self.words.known().items()
+            for server_id, rest in self.backoffs.known().items()
             if rest.is_avoided(now_s=now_s) and self._is_its_word(server_id, rest)
         )
         return resting | self.limits.returning(now_s=now_s)
 
-    def first_end_s(
+    def min_wait_s(
         self, servers: Iterable[BackendServer], *, priority: int = 0
     ) -> float:
         """Return when the first of some servers may be sent to, in seconds from now.
 
         0 where nothing keeps that back.
         """
-        bound = self.bound(priority=priority, now_s=clocks.now_s())
+        bound = self.blocked_s(priority=priority, now_s=clocks.now_s())
         return min((bound.get(one.id, 0.0) for one in servers), default=0.0)
 
-    def explain(self, request_id: str, service: str) -> None:
+    def log_blocked_servers(self, request_id: str, service: str) -> None:
         """Log the rests, limits and departures that decide over a service."""
-        known = self.words.known()
+        known = self.backoffs.known()
         rests = [
             {
                 "server_id": server_id,
@@ -321,7 +335,7 @@
     def _is_its_word(self, server_id: str, rest: Rest) -> bool:
         """Tell whether a rest is the word of a listed server's present start."""
         server = self._backends.get(server_id)
-        return server is not None and rest.is_of(server.born_ms)
+        return server is not None and rest.is_of(server.started_ms)
 
     def _is_of(self, server_id: str, service: str) -> bool:
         """Tell whether a listed server is a service's."""
@@ -333,8 +347,8 @@
     ) -> _Kept | None:
         """Return what keeps something back from a server, or None."""
         listed = self._backends.get(server.id)
-        born_ms = (listed or server).born_ms
-        rest = self.words.rest(server.id, born_ms=born_ms, now_s=now_s)
+        started_ms = (listed or server).started_ms
+        rest = self.backoffs.active(server.id, started_ms=started_ms, now_s=now_s)
         if rest is not None:
             return _Kept("rest", rest.until_s - now_s, rest)
         if sending is Sending.REPORT:
--- a/src/violethatch/_rest_watch.py
+++ b/src/violethatch/_health_checks.py
@@ -26,7 +26,7 @@
 _WAIT_S = 0.25
 
 
-class RestWatch:
+class HealthCheckLoop:
     """Ends the rests of runners that answer again, and prolongs the others.
 
     Args:
--- a/src/violethatch/_limit_gate.py
+++ b/src/violethatch/_limit_enforcement.py
@@ -16,14 +16,14 @@
 from .backends import BackendServer, BackendTable
 from .limit_permits import (
     PERMIT_LIFE_S,
-    SPAN_S,
+    WINDOW_S,
     Permit,
-    PermitKeepers,
+    PermitCache,
+    PermitIssuers,
     PermitReply,
-    PermitStock,
 )
 from .server_limits import Limit, ServerLimits
-from .upstream import ServerWord
+from .upstream import ServerSignals
 
 
 #: The most servers whose limits a dump and the gauges tell.
@@ -58,33 +58,37 @@
         self._backends = backends
         self._rng = rng
         self.known = ServerLimits()
-        self.permits = PermitStock()
-        self.keepers = PermitKeepers(rng)
+        self.permits = PermitCache()
+        self.keepers = PermitIssuers(rng)
         #: Asks whoever keeps a server's permits; where there is nobody else, this
         #: instance.
-        self.ask_permit: Callable[[BackendServer, Limit, int], Awaitable[PermitReply]]
-        self.ask_permit = self._ask_itself
+        self.request_permit: Callable[
+            [BackendServer, Limit, int], Awaitable[PermitReply]
+        ]
+        self.request_permit = self._ask_itself
         #: Tells other instances of a limit that this one has heard of.
-        self.tell: Callable[[str, Limit], None] = lambda _server_id, _limit: None
+        self.announce: Callable[[str, Limit], None] = lambda _server_id, _limit: None
         #: Told of each answer to a question for a permit: given, refused.
         self.on_permit: Callable[[str], None] = lambda _outcome: None
         #: By server whose limit is over, from when on it is taken up again.
         self._returns_s: dict[str, float] = {}
 
-    def heard(self, server: BackendServer, word: ServerWord, request_id: str) -> None:
+    def heard(
+        self, server: BackendServer, word: ServerSignals, request_id: str
+    ) -> None:
         """Take in what an answer says of its server's limit, and tell others."""
-        if word.limit_a_s is None:
+        if word.limit_per_s is None:
             return
         limit = Limit(
-            word.limit_a_s,
-            server.born_ms,
+            word.limit_per_s,
+            server.started_ms,
             word.sent_ms,
             word.sent_s,
             clocks.now_s(),
             request_id=request_id,
         )
         if self.take(server.id, limit):
-            self.tell(server.id, limit)
+            self.announce(server.id, limit)
 
     def take(self, server_id: str, limit: Limit) -> bool:
         """Take in a server's word on its limit; tell whether that is news, and log it.
@@ -94,30 +98,32 @@
             limit: The word, heard here or by another instance.
         """
         listed = self._backends.get(server_id)
-        known_ms = listed.born_ms if listed is not None else 0
-        if not self.known.take(server_id, limit, known_ms=known_ms):
+        known_ms = listed.started_ms if listed is not None else 0
+        if not self.known.update(server_id, limit, known_ms=known_ms):
             return False
-        if limit.is_over:
-            self.permits.forget(server_id)
+        if limit.is_lifted:
+            self.permits.discard(server_id)
             self._take_up_later(server_id)
         events.log(
             events.SERVER_LIMIT,
             request_id=limit.request_id,
             server_id=server_id,
-            limit_a_s=None if limit.is_over else limit.per_s,
+            limit_a_s=None if limit.is_lifted else limit.per_s,
             teller=limit.teller,
         )
         return True
 
-    def limit_of(self, server_id: str, *, born_ms: int = 0) -> Limit | None:
+    def limit_of(self, server_id: str, *, started_ms: int = 0) -> Limit | None:
         """Return the limit of a server's present start, if it has named one.
 
         Args:
             server_id: Whose limit it is.
-            born_ms: Which start is meant where the server is not listed.
+            started_ms: Which start is meant where the server is not listed.
         """
         listed = self._backends.get(server_id)
-        return self.known.get(server_id, born_ms=listed.born_ms if listed else born_ms)
+        return self.known.get(
+            server_id, started_ms=listed.started_ms if listed else started_ms
+        )
 
     def zone_of(self, server_id: str) -> str:
         """Return a listed server's availability zone; empty if it isn't listed."""
@@ -129,17 +135,17 @@
     ) -> Permit | float:
         """Return a permit for one send, or for how long there is none, in seconds."""
         now_s = clocks.now_s()
-        left_s = self.permits.closed_s(priority=priority, now_s=now_s).get(server.id)
+        left_s = self.permits.blocked_s(priority=priority, now_s=now_s).get(server.id)
         if left_s is not None:
             return left_s
         permit = self.permits.take(server.id, now_s=now_s)
         if permit is not None:
             return permit
-        reply = await self.ask_permit(server, limit, priority)
-        self.on_permit("given" if reply.is_given else "refused")
-        if reply.is_given:
+        reply = await self.request_permit(server, limit, priority)
+        self.on_permit("given" if reply.is_granted else "refused")
+        if reply.is_granted:
             return Permit(now_s + PERMIT_LIFE_S)
-        self.permits.close(
+        self.permits.block(
             server.id, reply.wait_s, priority=priority, now_s=clocks.now_s()
         )
         return reply.wait_s
@@ -148,7 +154,7 @@
         self, server_id: str, asker: str, per_s: float, *, priority: int
     ) -> PermitReply:
         """Give a permit of those that this instance keeps for all."""
-        return self.keepers.ask(
+        return self.keepers.request(
             server_id, asker, per_s, priority=priority, now_s=clocks.now_s()
         )
 
@@ -165,7 +171,7 @@
 
     def closed(self, *, priority: int, now_s: float) -> dict[str, float]:
         """Return, by server of which nothing may be asked, for how many seconds."""
-        closed_s = self.permits.closed_s(priority=priority, now_s=now_s)
+        closed_s = self.permits.blocked_s(priority=priority, now_s=now_s)
         return {
             server_id: left_s
             for server_id, left_s in closed_s.items()
@@ -197,17 +203,17 @@
             "limit_age_s": round(now_s - limit.heard_s, 3),
             "limit_said_to": limit.request_id,
             "limit_teller": limit.teller,
-            "sent_of_late": self.permits.used_within(server_id, SPAN_S, now_s=now_s),
+            "sent_of_late": self.permits.used_within(server_id, WINDOW_S, now_s=now_s),
         }
 
     def state(self) -> dict[str, LimitState]:
         """Return some limits that are kept now, for a dump and for gauges."""
         now_s = clocks.now_s()
-        given = self.keepers.given_within(SPAN_S, now_s=now_s)
+        given = self.keepers.given_within(WINDOW_S, now_s=now_s)
         return {
             one: LimitState(
                 limit.per_s,
-                self.permits.used_within(one, SPAN_S, now_s=now_s),
+                self.permits.used_within(one, WINDOW_S, now_s=now_s),
                 given.get(one, 0),
             )
             for one, limit in list(self.present().items())[:_MOST_SHOWN]
--- a/src/violethatch/_limit_link.py
+++ b/src/violethatch/_limit_link.py
@@ -20,7 +20,7 @@
 from typing import Any, NamedTuple
 
 from . import clocks, events, running_time
-from ._limit_gate import LimitGate
+from ._limit_enforcement import LimitGate
 from ._listed import lifetime_name, server_and_start
 from ._peer_datagrams import (
     LimitDatagram,
@@ -31,7 +31,7 @@
 )
 from .backends import BackendServer
 from .instances import InstanceEntry
-from .limit_permits import GIVEN, SPAN_S, PermitReply
+from .limit_permits import GIVEN, WINDOW_S, PermitReply
 from .membership import rendezvous
 from .server_limits import Limit
 
@@ -70,7 +70,7 @@
 #: The least urgent priority that is told.
 _LAST_PRIORITY = 9
 #: The answer to who asks and is the keeper by the list of who is asked.
-_YOURS = PermitReply(is_given=False, wait_s=-1.0)
+_YOURS = PermitReply(is_granted=False, wait_s=-1.0)
 #: The longest time ago that is told: what is older is as old as that.
 _LONGEST_AGO_MS = 2**31 - 1
 
@@ -133,7 +133,7 @@
                 one for one in self._left_to_next if self._gate.limit_of(one)
             }
 
-    async def ask(
+    async def request_permit(
         self, server: BackendServer, limit: Limit, priority: int
     ) -> PermitReply:
         """Ask for a permit to send to a server; at the most some moments.
@@ -145,7 +145,7 @@
         """
         waiting = self._waiting.get(server.id, 0)
         if waiting >= _MOST_ASKED:
-            return PermitReply(is_given=False, wait_s=_ANSWER_S)
+            return PermitReply(is_granted=False, wait_s=_ANSWER_S)
         self._waiting[server.id] = waiting + 1
         try:
             return await self._ask(server, limit, priority)
@@ -154,7 +154,7 @@
             if not self._waiting[server.id]:
                 del self._waiting[server.id]
 
-    def tell(self, server_id: str, limit: Limit) -> None:
+    def announce(self, server_id: str, limit: Limit) -> None:
         """Tell of a word that this instance has heard from the server."""
         keeper = self._keeper(server_id)
         if keeper is None:
@@ -182,7 +182,7 @@
                 return self._give(server.id, own_id, limit, priority)
             if reply is not None:
                 return reply
-        return PermitReply(is_given=False, wait_s=_NO_ANSWER_S)
+        return PermitReply(is_granted=False, wait_s=_NO_ANSWER_S)
 
     def _keeper(self, server_id: str) -> InstanceEntry | None:
         """Return who keeps a server's permits; None for this instance."""
@@ -206,7 +206,7 @@
         lists don't tell it yet, or no longer.  It does so until the limit is over:
         whoever takes over doesn't know what was given.
         """
-        if now_s - self._started_s < SPAN_S or self._is_leaving():
+        if now_s - self._started_s < WINDOW_S or self._is_leaving():
             self._left_to_next.add(server_id)
         elif self._gate.limit_of(server_id) is None:
             self._left_to_next.discard(server_id)
@@ -272,7 +272,7 @@
             token=keeper.token,
             sender=self._directory.own.id,
             number=number,
-            lifetime=lifetime_name(server_id, limit.born_ms),
+            lifetime=lifetime_name(server_id, limit.started_ms),
             limit_a_s=limit.per_s,
             sent_ago_ms=_ago_ms(limit.sent_s, now_s),
             heard_ago_ms=_ago_ms(limit.heard_s, now_s),
@@ -318,11 +318,11 @@
         server_id, limit = _heard_limit(message, message.limit_a_s)
         if self._gate.take(server_id, limit) and self._keeper(server_id) is None:
             self._tell_all(server_id, limit, but=message.sender)
-        known = self._gate.limit_of(server_id, born_ms=limit.born_ms)
+        known = self._gate.limit_of(server_id, started_ms=limit.started_ms)
         if known is None:
             self._answer(asker, message.number, GIVEN)
             latest = self._gate.known.latest(server_id)
-            if latest is not None and latest.is_over:
+            if latest is not None and latest.is_lifted:
                 self._send_limit(asker, server_id, latest)
             return
         keeper = None if message.is_passed_on else self._keeper(server_id)
@@ -355,7 +355,7 @@
             token=asker.token,
             sender=self._directory.own.id,
             number=number,
-            is_given=reply.is_given,
+            is_given=reply.is_granted,
             wait_ms=max(0, math.ceil(reply.wait_s * _MS_PER_S)),
             is_yours=reply is _YOURS,
         )
@@ -412,8 +412,8 @@
         message = LimitDatagram(
             token=peer.token,
             sender=self._directory.own.id,
-            lifetime=lifetime_name(server_id, limit.born_ms),
-            limit_a_s=None if limit.is_over else limit.per_s,
+            lifetime=lifetime_name(server_id, limit.started_ms),
+            limit_a_s=None if limit.is_lifted else limit.per_s,
             sent_ago_ms=_ago_ms(limit.sent_s, now_s),
             heard_ago_ms=_ago_ms(limit.heard_s, now_s),
             is_for_all=is_for_all,
@@ -447,11 +447,11 @@
     message: LimitDatagram | PermitAskDatagram, limit_a_s: float | None
 ) -> tuple[str, Limit]:
     """Return the server that a datagram speaks of, and the word on its limit."""
-    server_id, born_ms = server_and_start(message.lifetime)
+    server_id, started_ms = server_and_start(message.lifetime)
     now_s = clocks.now_s()
     limit = Limit(
         math.inf if limit_a_s is None else limit_a_s,
-        born_ms,
+        started_ms,
         0,
         now_s - message.sent_ago_ms / _MS_PER_S,
         now_s - message.heard_ago_ms / _MS_PER_S,
--- a/src/violethatch/_listed.py
+++ b/src/violethatch/_listed.py
@@ -22,7 +22,7 @@
         layers: The layers a runner holds; None for an empty runner and for
             servers without an engine.
         kind: The accelerator kind of a runner, or an empty text.
-        born_ms: When it started, by its own time of day; 0 where it doesn't tell.
+        started_ms: When it started, by its own time of day; 0 where it doesn't tell.
     """
 
     id: str
@@ -34,17 +34,17 @@
     layers: LayerRange | None = None
     kind: str = ""
     weights_version: int = 0
-    born_ms: int = 0
+    started_ms: int = 0
 
     @property
     def lifetime(self) -> str:
         """What names this start of the server, and none before or after it."""
-        return lifetime_name(self.id, self.born_ms)
+        return lifetime_name(self.id, self.started_ms)
 
 
-def lifetime_name(server_id: str, born_ms: int) -> str:
+def lifetime_name(server_id: str, started_ms: int) -> str:
     """Return what names one start of a server; its id where it tells no start."""
-    return f"{server_id}{START_MARK}{born_ms}" if born_ms else server_id
+    return f"{server_id}{START_MARK}{started_ms}" if started_ms else server_id
 
 
 def server_and_start(lifetime: str) -> tuple[str, int]:
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from . import clocks
-from ._word_gate import WordGate
+from ._flow_control import FlowController
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
@@ -138,7 +138,7 @@
         zone: The instance's availability zone.
         backends: The listed runners.
         health: Who is left alone.
-        gate: Who has asked for rest.
+        flow_control: Who has asked for rest.
         paces: Who is slow.
         loads: How full runners are.
         pipe: Which requests may cross between zones.
@@ -151,7 +151,7 @@
         *,
         backends: BackendTable,
         health: RunnerHealth,
-        gate: WordGate,
+        flow_control: FlowController,
         paces: RunnerPaces,
         loads: StreamLoads,
         pipe: PipeShare,
@@ -160,7 +160,7 @@
         self._zone = zone
         self._backends = backends
         self._health = health
-        self._gate = gate
+        self._gate = flow_control
         self._paces = paces
         self._loads = loads
         self._pipe = pipe
@@ -247,7 +247,7 @@
             return None
         maps = self._maps_of(service, service.engine)
         now_s = clocks.now_s()
-        asked_s = self._gate.bound(priority=priority, now_s=now_s)
+        asked_s = self._gate.blocked_s(priority=priority, now_s=now_s)
         rests_s = self._health.rests_s(now_s=now_s)
         for server_id, left_s in asked_s.items():
             rests_s[server_id] = max(left_s, rests_s.get(server_id, 0.0))
@@ -337,7 +337,7 @@
             priority: The request's.
             now_s: The current monotonic time, in seconds.
         """
-        closed = self._gate.bound(priority=priority, now_s=now_s).keys()
+        closed = self._gate.blocked_s(priority=priority, now_s=now_s).keys()
         bound = avoided | (closed - stays)
         resting = self._health.resting(now_s=now_s) | bound
         wished = self._gate.avoided(now_s=now_s) - stays
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -31,7 +31,7 @@
         self._datagrams = datagrams
         self._router = router
         self._sightings = SightingLink(datagrams, router.routing.hearsay)
-        self._sightings.born_ms = router.routing.born_ms
+        self._sightings.started_ms = router.routing.started_ms
         self._paces = PaceLink(datagrams, router.routing.paces)
         self._retries = RetryLink(datagrams, router.routing.retries, rng=rng)
         self._suspects = SuspectLink(datagrams, router.routing.suspects)
@@ -40,7 +40,7 @@
         self.loads.on_tick = router.routing.admission.refresh
         self.limits = LimitLink(
             datagrams,
-            router.routing.gate.limits,
+            router.routing.flow_control.limits,
             rng=rng,
             is_leaving=lambda: router.stop_plan.is_stopping,
         )
@@ -56,8 +56,8 @@
         self._suspects.keep_hold = lambda trait: routing.keep_hold(trait)
         routing.tell_pace = self._paces.tell
         routing.retries.ask_for_retries = self._retries.ask
-        routing.gate.limits.ask_permit = self.limits.ask
-        routing.gate.limits.tell = self.limits.tell
+        routing.flow_control.limits.request_permit = self.limits.request_permit
+        routing.flow_control.limits.announce = self.limits.announce
         routing.admission.returns = self._returns
         routing.link_watch.is_active = True
         routing.know_instances(count=directory.__len__, place=directory.place)
--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placing.py
@@ -308,7 +308,9 @@
             )
             self._note_failed(order)
             return
-        is_same_start = report.born_ms in (0, server.born_ms) or not server.born_ms
+        is_same_start = (
+            report.started_ms in (0, server.started_ms) or not server.started_ms
+        )
         if report.layers != server.layers or not is_same_start:
             # The plan was made from an older list: a newer holder of the
             # lease would undo what the one before has ordered.
--- a/src/violethatch/_plain_calls.py
+++ b/src/violethatch/_plain_calls.py
@@ -356,8 +356,8 @@
         One that has refused it is not asked again: calls were sent four times within
         8 ms to a server that refused all.
         """
-        gate = self._routing.gate
-        bound = gate.bound(priority=self._admitted.priority, now_s=now_s)
+        gate = self._routing.flow_control
+        bound = gate.blocked_s(priority=self._admitted.priority, now_s=now_s)
         closed = self._refused_by | bound.keys()
         servers = self._routing.usable(self._admitted.service.name)
         resting = self._routing.health.resting(now_s=now_s)
@@ -446,7 +446,9 @@
         if held is not None:
             return held
         routing = self._routing
-        routing.gate.explain(self._call.id, self._admitted.service.name)
+        routing.flow_control.log_blocked_servers(
+            self._call.id, self._admitted.service.name
+        )
         if routing.link_watch.is_lost(self._admitted.service.name):
             return LinksLostError(retry_after_s=routing.come_back_s(_NONE_RETRY_S))
         servers = routing.usable(self._admitted.service.name)
@@ -454,7 +456,9 @@
             msg = "no backend server is listed"
             retry_after_s = routing.come_back_s()
             return ServiceUnreachableError(msg, retry_after_s=retry_after_s)
-        asked_s = routing.gate.first_end_s(servers, priority=self._admitted.priority)
+        asked_s = routing.flow_control.min_wait_s(
+            servers, priority=self._admitted.priority
+        )
         if asked_s > 0.0:
             msg = "all backend servers want nothing now"
             retry_after_s = routing.come_back_s(asked_s=asked_s)
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -99,9 +99,9 @@
         self.routing.on_refusal = self.metrics.refused
         self.routing.on_silent_run = self.metrics.silent_run
         self.routing.on_stream_cut = self.metrics.stream_cut
-        self.routing.gate.on_word = self.metrics.heard
-        self.routing.gate.on_kept_back = self.metrics.kept_back
-        self.routing.gate.limits.on_permit = self.metrics.permit
+        self.routing.flow_control.on_signal = self.metrics.heard
+        self.routing.flow_control.on_send_rejected = self.metrics.kept_back
+        self.routing.flow_control.limits.on_permit = self.metrics.permit
         self.routing.admission.observer = self.metrics
         self.freshness = Freshness(limit_s=settings.proof_limit_s)
         self.stop_plan = StopPlan(grace_s=settings.bounds.grace_s)
@@ -467,10 +467,10 @@
                 service: lost._asdict()
                 for service, lost in self.routing.link_watch.links.lost().items()
             },
-            "asked_rest_s": self.routing.gate.state(),
+            "asked_rest_s": self.routing.flow_control.state(),
             "server_limits": {
                 one: limit._asdict()
-                for one, limit in self.routing.gate.limits.state().items()
+                for one, limit in self.routing.flow_control.limits.state().items()
             },
             "sources": dict(self.sources()),
             "tables": {one: state._asdict() for one, state in self.tables().items()},
@@ -494,8 +494,8 @@
         suspects = self.routing.suspects
         self.metrics.admission(self.routing.admission.states())
         self.metrics.lost_links(self.routing.link_watch.links.lost())
-        self.metrics.servers_resting.set({}, len(self.routing.gate.state()))
-        self.metrics.limits(self.routing.gate.limits.state())
+        self.metrics.servers_resting.set({}, len(self.routing.flow_control.state()))
+        self.metrics.limits(self.routing.flow_control.limits.state())
         self.metrics.suspects(len(suspects), len(suspects.held(now_s=now_s)))
 
     def begin_start(self, times: StepTimes) -> None:
--- a/src/violethatch/_router_metrics.py
+++ b/src/violethatch/_router_metrics.py
@@ -8,7 +8,7 @@
 from aioprometheus import Counter, Gauge, Histogram, Registry
 
 from ._admission import AdmissionState
-from ._limit_gate import LimitState
+from ._limit_enforcement import LimitState
 from .desired import Admitted
 from .load_sums import LoadTotals
 from .store_era import StoreEra, TableState
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -12,10 +12,10 @@
 from . import clocks, events
 from ._admission import Admission
 from ._admission_ports import SpreadReturns, SummedDemand
+from ._flow_control import FlowController
 from ._path_choice import Blocked, PathChoice
 from ._probes import Probes
 from ._retry_budgets import RetryBudgets
-from ._word_gate import WordGate
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .forwarding import Forwarding, LinkWatch
@@ -77,10 +77,10 @@
         self.link_watch.on_return = self._note_links_back
         #: Hands calls to other instances, where there are any.
         self.forwarding: Forwarding | None = None
-        self.gate = WordGate(self.backends, rng=rng)
-        self.gate.on_wish = self._note_wish
-        self.gate.on_leaving = self._note_leaving
-        client.gate = self.gate
+        self.flow_control = FlowController(self.backends, rng=rng)
+        self.flow_control.on_advisory_backoff = self._note_wish
+        self.flow_control.on_leaving = self._note_leaving
+        client.gate = self.flow_control
         #: Told of each refusal: its trouble, and whether the server rested already.
         self.on_refusal: Callable[[Trouble, bool], None] = lambda _trouble, _rests: None
         #: Told of each run that counted as silent: by what finding, and what came then.
@@ -120,7 +120,7 @@
             settings.instance.availability_zone,
             backends=self.backends,
             health=self.health,
-            gate=self.gate,
+            flow_control=self.flow_control,
             paces=self.paces,
             loads=self.loads,
             pipe=PipeShare(rng),
@@ -324,10 +324,10 @@
         if was_held:
             self.keep_hold(trait)
 
-    def born_ms(self, server_id: str) -> int:
+    def started_ms(self, server_id: str) -> int:
         """Return when a server's known start was; 0 where that is not known."""
         server = self.backends.get(server_id)
-        return server.born_ms if server is not None else 0
+        return server.started_ms if server is not None else 0
 
     async def must_forward(self, call: Call, service: str) -> bool:
         """Tell whether another instance has to serve a call.
@@ -366,12 +366,12 @@
     def _note_leaving(self, server: BackendServer) -> None:
         """Log that a server has said that it leaves, and tell other instances."""
         events.log(events.RUNNER_LEAVING, server_ids=[server.id], reason="said so")
-        self.tell(Sighting(server.id, Trouble.LEAVING, 0.0, server.born_ms))
+        self.tell(Sighting(server.id, Trouble.LEAVING, 0.0, server.started_ms))
 
     def _heard_leaving(self, sighting: Sighting) -> bool:
         """Take in that a server has told another instance that it leaves."""
         is_news = self.backends.note_leaving(
-            sighting.server_id, sighting.born_ms, now_s=clocks.now_s()
+            sighting.server_id, sighting.started_ms, now_s=clocks.now_s()
         )
         if is_news:
             events.log(
@@ -385,7 +385,7 @@
 
     def _note_report(self, server: BackendServer, report: RunnerReport) -> None:
         """Take in how slow a runner says that it is; log one that has become so."""
-        if 0 < report.born_ms < server.born_ms:
+        if 0 < report.started_ms < server.started_ms:
             return  # another process's, which has been there before
         now_s = clocks.now_s()
         was_slow = server.id in self.paces.slow(now_s=now_s)
@@ -433,18 +433,20 @@
         trouble = _trouble_of(refusal, is_told_by_other=is_told_by_other)
         server = self.backends.get(server_id)
         if is_told_by_other and server is not None:
-            self.gate.pass_on_rest(server, refusal.word, request_id)
+            self.flow_control.record_forwarded_backoff(
+                server, refusal.signals, request_id
+            )
         rested_s = self.health.rests_s(now_s=clocks.now_s()).get(server_id, 0.0)
         guessed_s = self._note(server_id, trouble) or 0.0
-        asked_s = self.gate.bound(now_s=clocks.now_s()).get(server_id, 0.0)
+        asked_s = self.flow_control.blocked_s(now_s=clocks.now_s()).get(server_id, 0.0)
         self.on_refusal(trouble, rested_s > 0)
         events.log(
             events.SERVER_REFUSED,
             request_id=request_id,
             server_id=server_id,
             trouble=trouble.value,
-            status=refusal.word.status,
-            asks_rest_s=refusal.word.rest_s,
+            status=refusal.signals.status,
+            asks_rest_s=refusal.signals.backoff_s,
             rested_s=round(rested_s, 3),
             rest_s=round(max(guessed_s, asked_s), 3),
             is_told_by_other=is_told_by_other,
@@ -459,7 +461,7 @@
         rest_s = self.health.note(server_id, trouble, now_s=clocks.now_s())
         if rest_s is None or not is_worth_telling(trouble):
             return rest_s
-        sighting = Sighting(server_id, trouble, rest_s, self.born_ms(server_id))
+        sighting = Sighting(server_id, trouble, rest_s, self.started_ms(server_id))
         server = self.backends.get(server_id)
         if trouble is Trouble.SILENT and server is not None:
             self.link_watch.when_sound(server, functools.partial(self.tell, sighting))
--- a/src/violethatch/_services.py
+++ b/src/violethatch/_services.py
@@ -21,13 +21,13 @@
     ServiceLostError,
     ServiceUnreachableError,
 )
-from .limit_figures import read_limit
-from .limit_permits import PermitKeepers, PermitStock
+from .limit_header import parse_limit
+from .limit_permits import PermitCache, PermitIssuers
 from .ports import ListedInstance
 from .retries import RetryBudget
 from .retry_after import read_retry_after
+from .server_backoffs import ServerBackoffs
 from .server_limits import Limit, ServerLimits
-from .server_words import ServerWords
 
 
 #: A backend server's word that it refused the call before starting it.
@@ -61,10 +61,10 @@
         self._servers: dict[str, list[ListedInstance]] = {}
         self._turn = itertools.count()
         rng = random.Random()
-        self._words = ServerWords(rng)
+        self._words = ServerBackoffs(rng)
         self._limits = ServerLimits()
-        self._keepers = PermitKeepers(rng)
-        self._permits = PermitStock()
+        self._keepers = PermitIssuers(rng)
+        self._permits = PermitCache()
         #: This instance's part of what servers take of all.
         self._share = 1.0
         self._session: aiohttp.ClientSession | None = None
@@ -197,7 +197,7 @@
             msg = f"{server['id']}: {error or type(error).__name__}"
             raise ServiceLostError(msg) from error
         if answer.status == _UNAVAILABLE and _NOT_STARTED_HEADER in answer.headers:
-            rest = self._words.rest(server["id"], now_s=clocks.now_s())
+            rest = self._words.active(server["id"], now_s=clocks.now_s())
             rest_s = rest.asked_s if rest is not None else _RETRY_AFTER_S
             raise ServerRefusedError(server["id"], retry_after_s=rest_s)
         content_type = answer.headers.get("Content-Type", "application/octet-stream")
@@ -214,7 +214,7 @@
         )
         if asked.length_s is None and not asked.unread:
             return
-        is_longer = self._words.ask_rest(
+        is_longer = self._words.record(
             server["id"], asked.length_s or 0.0, now_s=clocks.now_s()
         )
         events.log(
@@ -230,18 +230,18 @@
         self, server: ListedInstance, answer: aiohttp.ClientResponse, sent_s: float
     ) -> None:
         """Take in how many calls a second a server takes of all instances."""
-        figure = read_limit(answer.headers.getall(_LIMIT_HEADER, ()))
+        figure = parse_limit(answer.headers.getall(_LIMIT_HEADER, ()))
         if figure.per_s is None:
             return
         limit = Limit(figure.per_s, 0, 0, sent_s, clocks.now_s())
-        if not self._limits.take(server["id"], limit):
+        if not self._limits.update(server["id"], limit):
             return
-        if limit.is_over:
-            self._permits.forget(server["id"])
+        if limit.is_lifted:
+            self._permits.discard(server["id"])
         events.log(
             events.SERVER_LIMIT,
             server_id=server["id"],
-            limit_a_s=None if limit.is_over else limit.per_s,
+            limit_a_s=None if limit.is_lifted else limit.per_s,
             share=self._share,
         )
 
@@ -253,11 +253,11 @@
                 of what the server takes.
         """
         now_s = clocks.now_s()
-        rest = self._words.rest(server["id"], now_s=now_s)
+        rest = self._words.active(server["id"], now_s=now_s)
         if rest is not None:
             msg = f"{server['id']} has asked for rest"
             raise ServerRefusedError(msg, retry_after_s=rest.until_s - now_s)
-        left_s = self._permits.closed_s(now_s=now_s).get(server["id"])
+        left_s = self._permits.blocked_s(now_s=now_s).get(server["id"])
         if left_s is not None:
             msg = f"{server['id']} takes no more of this instance now"
             raise ServerRefusedError(msg, retry_after_s=left_s)
@@ -276,9 +276,9 @@
             return
         now_s = clocks.now_s()
         part_a_s = self._share * limit.per_s
-        reply = self._keepers.ask(server["id"], "", part_a_s, now_s=now_s)
-        if not reply.is_given:
-            self._permits.close(server["id"], reply.wait_s, now_s=now_s)
+        reply = self._keepers.request(server["id"], "", part_a_s, now_s=now_s)
+        if not reply.is_granted:
+            self._permits.block(server["id"], reply.wait_s, now_s=now_s)
             self._check_send(server)
 
 
--- a/src/violethatch/_sighting_link.py
+++ b/src/violethatch/_sighting_link.py
@@ -36,7 +36,7 @@
         self._datagrams = datagrams
         self._hearsay = hearsay
         #: Tells when a server's known start was, if it is known.
-        self.born_ms: Callable[[str], int | None] = lambda _server_id: None
+        self.started_ms: Callable[[str], int | None] = lambda _server_id: None
         self._gathered: list[Sighting] = []
         self._allowance = SendAllowance(most_a_second=_MOST_A_SECOND)
         datagrams.on(SightingsDatagram, self._take)
@@ -70,8 +70,8 @@
 
     def _is_over(self, sighting: Sighting) -> bool:
         """Tell whether a sighting is of a start before the one that is known."""
-        known_ms = self.born_ms(sighting.server_id) or 0
-        return 0 < sighting.born_ms < known_ms
+        known_ms = self.started_ms(sighting.server_id) or 0
+        return 0 < sighting.started_ms < known_ms
 
     def _send(self) -> None:
         """Send what was gathered to all instances."""
@@ -80,7 +80,7 @@
             return  # the others meet the trouble by themselves
         seen = [
             (
-                lifetime_name(one.server_id, one.born_ms),
+                lifetime_name(one.server_id, one.started_ms),
                 one.trouble.value,
                 int(one.rest_s * _MS_PER_S),
             )
@@ -99,7 +99,7 @@
         ValueError: A kind of trouble is not known.
     """
     return [
-        Sighting(server_id, Trouble(trouble), rest_ms / _MS_PER_S, born_ms)
+        Sighting(server_id, Trouble(trouble), rest_ms / _MS_PER_S, started_ms)
         for lifetime, trouble, rest_ms in message.seen
-        for server_id, born_ms in (server_and_start(lifetime),)
+        for server_id, started_ms in (server_and_start(lifetime),)
     ]
--- a/src/violethatch/backends.py
+++ b/src/violethatch/backends.py
@@ -11,8 +11,8 @@
 
 from ._listed import BackendServer
 from .departures import Departures
+from .server_backoffs import may_come_from_start, resolve_start
 from .server_starts import ServerStarts
-from .server_words import is_word_of, start_of_word
 
 
 __all__ = (
@@ -142,7 +142,7 @@
         return ListChange(tuple(found), tuple(lost), tuple(leaving), tuple(restarted))
 
     def note_leaving(
-        self, server_id: str, born_ms: int, *, sent_ms: int = 0, now_s: float
+        self, server_id: str, started_ms: int, *, sent_ms: int = 0, now_s: float
     ) -> bool:
         """Take a server's own word in that it leaves; tell whether that is news.
 
@@ -151,13 +151,13 @@
 
         Args:
             server_id: Who has said so.
-            born_ms: Which start of it was listed; 0 where it tells none.
+            started_ms: Which start of it was listed; 0 where it tells none.
             sent_ms: When the server was asked, by the time of day; 0 if not known.
             now_s: The current monotonic time, in seconds.
         """
         known = self._servers.get(server_id)
-        known_ms = known.born_ms if known is not None else 0
-        start_ms = start_of_word(born_ms, known_ms=known_ms, sent_ms=sent_ms)
+        known_ms = known.started_ms if known is not None else 0
+        start_ms = resolve_start(started_ms, known_ms=known_ms, sent_ms=sent_ms)
         if start_ms is None:
             return False
         start = (server_id, start_ms)
@@ -285,13 +285,15 @@
 
     def _carry_word(self, before: BackendServer, server: BackendServer) -> None:
         """Take for a new start's word what was asked for after its birth."""
-        sent_ms = self._said_leaving.get((before.id, before.born_ms), 0)
-        if is_word_of(server.born_ms, listed_ms=before.born_ms, sent_ms=sent_ms):
-            self._said_leaving[server.id, server.born_ms] = sent_ms
+        sent_ms = self._said_leaving.get((before.id, before.started_ms), 0)
+        if may_come_from_start(
+            server.started_ms, listed_ms=before.started_ms, sent_ms=sent_ms
+        ):
+            self._said_leaving[server.id, server.started_ms] = sent_ms
 
     def _as_said(self, server: BackendServer) -> BackendServer:
         """Return an entry with its server's own word that it leaves, if that stands."""
-        starts = {(server.id, server.born_ms), (server.id, 0)}
+        starts = {(server.id, server.started_ms), (server.id, 0)}
         if starts.isdisjoint(self._said_leaving):
             return server
         return server._replace(is_leaving=True)
@@ -315,4 +317,6 @@
 
 def _is_new_start(known: BackendServer, server: BackendServer) -> bool:
     """Tell whether an entry is of another start than the one that is known."""
-    return bool(known.born_ms and server.born_ms and known.born_ms != server.born_ms)
+    return bool(
+        known.started_ms and server.started_ms and known.started_ms != server.started_ms
+    )
--- a/src/violethatch/departures.py
+++ b/src/violethatch/departures.py
@@ -30,7 +30,7 @@
 class _Departure(NamedTuple):
     """A start of a server that has left the list."""
 
-    born_ms: int
+    started_ms: int
     at_s: float
 
 
@@ -47,7 +47,7 @@
     def note(self, server: BackendServer, *, now_s: float) -> None:
         """Record that a server has left the list."""
         self._departures.pop(server.id, None)
-        self._departures[server.id] = _Departure(server.born_ms, now_s)
+        self._departures[server.id] = _Departure(server.started_ms, now_s)
         while len(self._departures) > _MAX_DEPARTURES:
             del self._departures[next(iter(self._departures))]
 
@@ -69,6 +69,6 @@
         if now_s >= self._undone_until_s:
             return False
         departure = self._departures.get(server.id)
-        if departure is None or departure.born_ms != server.born_ms:
+        if departure is None or departure.started_ms != server.started_ms:
             return False
         return now_s - departure.at_s < DEPARTURE_LIFE_S
--- a/src/violethatch/limit_figures.py
+++ b/src/violethatch/limit_header.py
@@ -18,30 +18,30 @@
 
 #: The highest limit that binds, in requests a second.  The largest fleet that is
 #: planned for gets 6,300 before hundreds of servers: a higher one limits nothing.
-MOST_A_S = 1_000.0
+MAX_LIMIT_PER_S = 1_000.0
 #: The longest figure that is read, in characters.
 _MOST_CHARACTERS = 64
 _NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 
 
-class LimitFigure(NamedTuple):
+class ParsedLimit(NamedTuple):
     """What a server's figures come to.
 
     Attributes:
         per_s: The requests that it takes a second; infinite if it names no limit, None
             if that can't be told.
-        unread: A figure that can't be understood, shortened; empty if there is none.
-        is_cut: Whether it named more than is kept as a limit.
+        invalid: A figure that can't be understood, shortened; empty if there is none.
+        exceeds_max: Whether it named more than is kept as a limit.
 
     .. versionadded:: 26.6.0
     """
 
     per_s: float | None = math.inf
-    unread: str = ""
-    is_cut: bool = False
+    invalid: str = ""
+    exceeds_max: bool = False
 
 
-def read_limit(values: Iterable[str]) -> LimitFigure:
+def parse_limit(values: Iterable[str]) -> ParsedLimit:
     """Read an answer's figures; of several the lowest counts.
 
     Args:
@@ -54,10 +54,10 @@
         part.strip() for value in values for part in value[:_MOST_CHARACTERS].split(",")
     ]
     if not parts:
-        return LimitFigure()
+        return ParsedLimit()
     figures = [float(part) for part in parts if _NUMBER.fullmatch(part)]
     unread = [part or "(empty)" for part in parts if not _NUMBER.fullmatch(part)]
     lowest = min(figures, default=None)
-    if lowest is not None and lowest > MOST_A_S:
-        return LimitFigure(math.inf, "".join(unread[:1]), is_cut=True)
-    return LimitFigure(lowest, "".join(unread[:1]))
+    if lowest is not None and lowest > MAX_LIMIT_PER_S:
+        return ParsedLimit(math.inf, "".join(unread[:1]), exceeds_max=True)
+    return ParsedLimit(lowest, "".join(unread[:1]))
--- a/src/violethatch/limit_permits.py
+++ b/src/violethatch/limit_permits.py
@@ -19,7 +19,7 @@
 leaves go to what workspaces and routes put first; no permit is held back for that, and
 what is less urgent gets some.
 
-The limits' reasons: what all send stays within the figure over any `SPAN_S`, counted
+The limits' reasons: what all send stays within the figure over any `WINDOW_S`, counted
 with the life of permits; and permits come spread over the span, so that a server in
 need gets no bursts, and a keeper that takes over from another adds little to what that
 one has given.
@@ -37,7 +37,7 @@
 
 
 #: Over any span so long, in seconds, no more is sent than the limit allows.
-SPAN_S = 4.0
+WINDOW_S = 4.0
 #: How long a permit is good for, in seconds, from when it was asked for: a way there
 #: and back, and a new connection to the server.
 PERMIT_LIFE_S = 0.1
@@ -71,20 +71,20 @@
     """What a keeper answers.
 
     Attributes:
-        is_given: Whether one request may be sent.
+        is_granted: Whether one request may be sent.
         wait_s: When to ask again if not, in seconds.
 
     .. versionadded:: 26.6.0
     """
 
-    is_given: bool
+    is_granted: bool
     wait_s: float = 0.0
 
 
-GIVEN = PermitReply(is_given=True)
+GIVEN = PermitReply(is_granted=True)
 
 
-class PermitKeeper:
+class PermitIssuer:
     """Gives the permits of one server.
 
     Args:
@@ -105,7 +105,7 @@
         #: By priority, when a request of it was last asked for.
         self._wanted_s: dict[int, float] = {}
 
-    def ask(
+    def request(
         self, asker: str, per_s: float, *, priority: int = 0, now_s: float
     ) -> PermitReply:
         """Give a permit, or tell when to ask again.
@@ -125,7 +125,7 @@
             self._due_s = max(self._due_s, now_s) + 1.0 / self._per_s
             return GIVEN
         wait_s = self._wait_s(free_s - now_s, priority, now_s=now_s)
-        return PermitReply(is_given=False, wait_s=wait_s)
+        return PermitReply(is_granted=False, wait_s=wait_s)
 
     def given_within(self, span_s: float, *, now_s: float) -> int:
         """Return how many permits were given of late."""
@@ -145,9 +145,9 @@
 
     def _free_s(self, *, now_s: float) -> float:
         """Return from when on a permit can be given."""
-        whole = SPAN_S * self._per_s
+        whole = WINDOW_S * self._per_s
         # Less than one in a span: one in as long as one takes.
-        span_s = PERMIT_LIFE_S + max(SPAN_S, 1.0 / self._per_s)
+        span_s = PERMIT_LIFE_S + max(WINDOW_S, 1.0 / self._per_s)
         most = max(1, math.floor(whole + 1e-9))
         while self._given_s and now_s - self._given_s[0] >= span_s:
             self._given_s.popleft()
@@ -181,7 +181,7 @@
         return min(_LONGEST_WAIT_S, wait_s)
 
 
-class PermitKeepers:
+class PermitIssuers:
     """The servers whose permits one instance gives.
 
     Args:
@@ -192,12 +192,12 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._kept: dict[str, tuple[PermitKeeper, float]] = {}
+        self._kept: dict[str, tuple[PermitIssuer, float]] = {}
 
     def __len__(self) -> int:
         return len(self._kept)
 
-    def ask(
+    def request(
         self,
         server_id: str,
         asker: str,
@@ -216,10 +216,10 @@
             now_s: The current monotonic time, in seconds.
         """
         known = self._kept.pop(server_id, None)
-        keeper = known[0] if known else PermitKeeper(rng=self._rng, now_s=now_s)
+        keeper = known[0] if known else PermitIssuer(rng=self._rng, now_s=now_s)
         self._forget_old(now_s=now_s)
         self._kept[server_id] = (keeper, now_s)
-        return keeper.ask(asker, per_s, priority=priority, now_s=now_s)
+        return keeper.request(asker, per_s, priority=priority, now_s=now_s)
 
     def given_within(self, span_s: float, *, now_s: float) -> dict[str, int]:
         """Return, by server, how many permits were given of late."""
@@ -250,7 +250,7 @@
     until_s: float
 
 
-class PermitStock:
+class PermitCache:
     """One instance's permits, and the servers that it may not ask for now.
 
     A permit whose request was not written in the end is used by the next one, while it
@@ -290,7 +290,7 @@
         used_s = self._used_s.get(server_id, ())
         return sum(now_s - at_s < span_s for at_s in used_s)
 
-    def close(
+    def block(
         self, server_id: str, wait_s: float, *, priority: int = 0, now_s: float
     ) -> None:
         """Send nothing to a server, and ask for nothing, for a while.
@@ -304,7 +304,7 @@
         closed = self._closed_until_s.setdefault(server_id, {})
         closed[priority] = max(now_s + wait_s, closed.get(priority, 0.0))
 
-    def closed_s(self, *, priority: int = 0, now_s: float) -> dict[str, float]:
+    def blocked_s(self, *, priority: int = 0, now_s: float) -> dict[str, float]:
         """Return, by server, for how long nothing of a priority may be asked for."""
         until_s = {
             server_id: max(
@@ -314,7 +314,7 @@
         }
         return {one: at_s - now_s for one, at_s in until_s.items() if now_s < at_s}
 
-    def forget(self, server_id: str) -> None:
+    def discard(self, server_id: str) -> None:
         """Forget a server whose limit is over."""
         for known in (self._permits, self._closed_until_s, self._used_s):
             known.pop(server_id, None)
--- a/src/violethatch/platform/_parts.py
+++ b/src/violethatch/platform/_parts.py
@@ -13,8 +13,8 @@
 import aiohttp
 
 from .._connection_choice import ConnectionChoice
+from .._health_checks import HealthCheckLoop
 from .._placing import PlacementDuty
-from .._rest_watch import RestWatch
 from .._router import Router
 from ..forwarding import ForwardClient
 from ..instances import InstanceDirectory, InstanceEntry
@@ -34,7 +34,7 @@
     store: Store
     duty: PlacementDuty
     following: Following
-    watch: RestWatch
+    health_checks: HealthCheckLoop
 
     def takers(self) -> list[Callable[[RouterSettings], None]]:
         """Return what takes changed settings in."""
@@ -89,7 +89,7 @@
         duty=duty,
         rng=rng,
     )
-    watch = RestWatch(router.routing, rng=rng)
+    watch = HealthCheckLoop(router.routing, rng=rng)
     return Parts(router, store, duty, following, watch)
 
 
--- a/src/violethatch/platform/_process.py
+++ b/src/violethatch/platform/_process.py
@@ -145,7 +145,7 @@
         for work in (
             *parts.following.work(),
             parts.duty.run(),
-            parts.watch.run(),
+            parts.health_checks.run(),
             self._watch_file(),
             watch_pauses(parts.router.metrics.paused),
         ):
--- a/src/violethatch/platform/_runners.py
+++ b/src/violethatch/platform/_runners.py
@@ -27,10 +27,11 @@
 from ..upstream import (
     AnswerLostError,
     ConnectionBrokenError,
+    FlowControl,
     Headers,
     KeptBackError,
+    NoFlowControl,
     NotSentError,
-    OpenGate,
     OrderAnswer,
     OrderOutcome,
     Reached,
@@ -38,9 +39,8 @@
     RunnerReport,
     Send,
     Sending,
-    ServerGate,
     ServerLoad,
-    ServerWord,
+    ServerSignals,
 )
 from . import _headers
 from ._wire import Report, held_range
@@ -99,7 +99,7 @@
 class _Answer:
     """A server's answer."""
 
-    def __init__(self, answer: aiohttp.ClientResponse, word: ServerWord) -> None:
+    def __init__(self, answer: aiohttp.ClientResponse, word: ServerSignals) -> None:
         self._answer = answer
         self.status = answer.status
         self.is_framed = "Content-Length" in answer.headers or (
@@ -130,7 +130,7 @@
         else:
             self._answer.close()
 
-    def _refusal(self, word: ServerWord) -> Refusal | None:
+    def _refusal(self, word: ServerSignals) -> Refusal | None:
         """Return the server's word that it has not run the call, if any."""
         is_misdirected = self.status == _MISDIRECTED
         if _headers.NOT_RUN not in self._answer.headers and not is_misdirected:
@@ -153,7 +153,7 @@
         self._kept = kept
         self._fresh = fresh
         self._report = msgspec.json.Decoder(Report)
-        self.gate: ServerGate = OpenGate()
+        self.gate: FlowControl = NoFlowControl()
 
     async def send(self, send: Send) -> _Answer:
         """Send a call; return its answer once the head is there.
@@ -228,7 +228,7 @@
         request_id: str = "",
         *,
         is_others: bool = False,
-    ) -> ServerWord:
+    ) -> ServerSignals:
         """Pass on, and return, what a server says of itself in an answer's head.
 
         Args:
@@ -241,8 +241,8 @@
         word = server_word(answer)._replace(sent_ms=sent.at_ms, sent_s=sent.at_s)
         if is_others:
             # Given at any time before, it can end no limit that was named since.
-            word = word._replace(limit_a_s=word.named_limit_a_s, sent_s=0.0)
-        self.gate.heard(server, word, request_id)
+            word = word._replace(limit_per_s=word.finite_limit_per_s, sent_s=0.0)
+        self.gate.record_signals(server, word, request_id)
         return word
 
     async def is_refusing(self, server: BackendServer) -> bool:
@@ -422,7 +422,7 @@
         slowness=report.pace,
         layers=held_range(report.layers),
         stalled={one.id: one.address for one in report.stalled},
-        born_ms=report.born,
+        started_ms=report.born,
     )
 
 
--- a/src/violethatch/platform/_words.py
+++ b/src/violethatch/platform/_words.py
@@ -10,9 +10,9 @@
 import aiohttp
 
 from .. import clocks
-from ..limit_figures import MOST_A_S, LimitFigure, read_limit
+from ..limit_header import MAX_LIMIT_PER_S, ParsedLimit, parse_limit
 from ..retry_after import RetryAfter, read_retry_after
-from ..upstream import ServerWord
+from ..upstream import ServerSignals
 from . import _headers
 
 
@@ -31,7 +31,7 @@
 _MOST_UNKNOWN = 4
 
 
-def server_word(answer: aiohttp.ClientResponse) -> ServerWord:
+def server_word(answer: aiohttp.ClientResponse) -> ServerSignals:
     """Return what a server says of itself in an answer's head."""
     headers = answer.headers
     asked = RetryAfter()
@@ -42,7 +42,7 @@
             wall_s=clocks.wall_s(),
         )
     leaving = [value.strip() for value in headers.getall(_headers.LEAVING, ())]
-    limit = read_limit(headers.getall(_headers.LIMIT, ()))
+    limit = parse_limit(headers.getall(_headers.LIMIT, ()))
     is_cut = [f"{asked.length_s:g} s at the most"] if asked.is_cut else []
     unread = [
         *filter(None, (asked.unread,)),
@@ -50,21 +50,21 @@
         *_unread_leaving(leaving),
         *_unread_limit(limit),
     ]
-    return ServerWord(
+    return ServerSignals(
         status=answer.status,
-        rest_s=asked.length_s,
+        backoff_s=asked.length_s,
         is_binding=answer.status == _UNAVAILABLE,
         is_leaving=_IS_LEAVING in leaving,
-        limit_a_s=_limit_a_s(limit, answer.status),
-        unread="; ".join(unread),
-        unknown=tuple(
+        limit_per_s=_limit_a_s(limit, answer.status),
+        invalid="; ".join(unread),
+        unknown_headers=tuple(
             name[:_MOST_CHARACTERS]
             for name in _headers.unknown_of_platform(headers)[:_MOST_UNKNOWN]
         ),
     )
 
 
-def _limit_a_s(limit: LimitFigure, status: int) -> float | None:
+def _limit_a_s(limit: ParsedLimit, status: int) -> float | None:
     """Return the limit that a server names, or None if its answer tells of none.
 
     Whoever is not the server that was meant can't tell that its limit is over.
@@ -74,11 +74,11 @@
     return limit.per_s
 
 
-def _unread_limit(limit: LimitFigure) -> list[str]:
+def _unread_limit(limit: ParsedLimit) -> list[str]:
     """Return what of a limit can't be understood, or is no limit here."""
-    if limit.is_cut:
-        return [f"a limit beyond {MOST_A_S:g} a second is none"]
-    return [f"limit {limit.unread}"] if limit.unread else []
+    if limit.exceeds_max:
+        return [f"a limit beyond {MAX_LIMIT_PER_S:g} a second is none"]
+    return [f"limit {limit.invalid}"] if limit.invalid else []
 
 
 def _unread_leaving(values: Iterable[str]) -> list[str]:
--- a/src/violethatch/server_words.py
+++ b/src/violethatch/server_backoffs.py
@@ -50,25 +50,25 @@
 _REMEMBERED_S = 30.0
 
 
-def is_word_of(born_ms: int, *, listed_ms: int, sent_ms: int) -> bool:
+def may_come_from_start(started_ms: int, *, listed_ms: int, sent_ms: int) -> bool:
     """Tell whether a word may be that of a start of its server.
 
     A clock that differs from the server's, or jumps, may take a word for the next
     start's, or for the one before: by as much as the clocks differ around its birth.
 
     Args:
-        born_ms: When the start was; 0 where it doesn't tell.
+        started_ms: When the start was; 0 where it doesn't tell.
         listed_ms: Which start was listed when the server was asked; 0 likewise.
         sent_ms: When it was asked, by the own time of day; 0 where that is not known.
 
     .. versionadded:: 26.5.0
     """
-    if not (born_ms and listed_ms) or born_ms == listed_ms:
+    if not (started_ms and listed_ms) or started_ms == listed_ms:
         return True
-    return listed_ms < born_ms <= sent_ms
+    return listed_ms < started_ms <= sent_ms
 
 
-def start_of_word(listed_ms: int, *, known_ms: int, sent_ms: int) -> int | None:
+def resolve_start(listed_ms: int, *, known_ms: int, sent_ms: int) -> int | None:
     """Return which start a word is kept for, or None if it is over.
 
     Args:
@@ -87,7 +87,7 @@
     """A rest that a server has asked this instance for.
 
     Attributes:
-        born_ms: Which start of the server was listed; 0 where it tells none.
+        started_ms: Which start of the server was listed; 0 where it tells none.
         sent_ms: When the request was sent that it answered, by the time of day.
         asked_s: For how long it has asked, in seconds.
         until_s: Until when nothing is sent.
@@ -98,7 +98,7 @@
     .. versionadded:: 26.5.0
     """
 
-    born_ms: int
+    started_ms: int
     sent_ms: int
     asked_s: float
     until_s: float
@@ -106,13 +106,15 @@
     request_id: str
     trial_s: float | None = None
 
-    def binds(self, born_ms: int, *, now_s: float) -> bool:
+    def binds(self, started_ms: int, *, now_s: float) -> bool:
         """Tell whether nothing may be sent to a start of the server now."""
-        return now_s < self.until_s and self.is_of(born_ms)
+        return now_s < self.until_s and self.is_of(started_ms)
 
-    def is_of(self, born_ms: int) -> bool:
+    def is_of(self, started_ms: int) -> bool:
         """Tell whether it is the word of a start, as far as starts are told."""
-        return is_word_of(born_ms, listed_ms=self.born_ms, sent_ms=self.sent_ms)
+        return may_come_from_start(
+            started_ms, listed_ms=self.started_ms, sent_ms=self.sent_ms
+        )
 
     def is_avoided(self, *, now_s: float) -> bool:
         """Tell whether others than the first request go elsewhere where they can."""
@@ -121,7 +123,7 @@
         return self.trial_s is not None and now_s < self.trial_s + TRIAL_S
 
 
-class ServerWords:
+class ServerBackoffs:
     """The rests that one instance was asked for.
 
     Args:
@@ -137,12 +139,12 @@
     def __len__(self) -> int:
         return len(self._rests)
 
-    def ask_rest(
+    def record(
         self,
         server_id: str,
         length_s: float,
         *,
-        born_ms: int = 0,
+        started_ms: int = 0,
         sent_ms: int = 0,
         request_id: str = "",
         now_s: float,
@@ -152,14 +154,14 @@
         Args:
             server_id: Who asks.
             length_s: For how long it wants nothing, in seconds; 0 is nothing asked.
-            born_ms: Which start of it was listed; 0 where it tells none.
+            started_ms: Which start of it was listed; 0 where it tells none.
             sent_ms: When the request was sent that it answered, by the time of day.
             request_id: What it has answered with that.
             now_s: The current monotonic time, in seconds.
         """
         known = self._rests.get(server_id)
-        known_ms = known.born_ms if known is not None else 0
-        start_ms = start_of_word(born_ms, known_ms=known_ms, sent_ms=sent_ms)
+        known_ms = known.started_ms if known is not None else 0
+        start_ms = resolve_start(started_ms, known_ms=known_ms, sent_ms=sent_ms)
         if start_ms is None or length_s <= 0.0:
             return False
         until_s = now_s + length_s
@@ -176,20 +178,22 @@
         self._forget_some(now_s)
         return True
 
-    def rest(self, server_id: str, *, born_ms: int = 0, now_s: float) -> Rest | None:
+    def active(
+        self, server_id: str, *, started_ms: int = 0, now_s: float
+    ) -> Rest | None:
         """Return the rest that binds towards a start of a server, if one does."""
         known = self._rests.get(server_id)
-        if known is None or not known.binds(born_ms, now_s=now_s):
+        if known is None or not known.binds(started_ms, now_s=now_s):
             return None
         return known
 
-    def sent(self, server_id: str, *, now_s: float) -> None:
+    def record_send(self, server_id: str, *, now_s: float) -> None:
         """Note that a request goes to a server: the first after a rest is its trial."""
         known = self._rests.get(server_id)
         if known is not None and not known.is_avoided(now_s=now_s):
             self._rests[server_id] = known._replace(trial_s=now_s)
 
-    def answered(self, server_id: str, *, now_s: float) -> None:
+    def record_response(self, server_id: str, *, now_s: float) -> None:
         """Note that a server has answered without asking for rest: it is back."""
         known = self._rests.get(server_id)
         if known is not None and now_s >= known.until_s:
--- a/src/violethatch/server_limits.py
+++ b/src/violethatch/server_limits.py
@@ -9,8 +9,8 @@
 that one had come; where nobody can tell which was first, the lower figure counts.  An
 answer that names none ends the limit by the same order.
 
-Limits are kept by a server's id and start, like rests (`server_words`): an entry that
-goes and comes back changes nothing, a new start is free.
+Limits are kept by a server's id and start, like rests (`server_backoffs`): an entry
+that goes and comes back changes nothing, a new start is free.
 
 .. versionadded:: 26.6.0
 """
@@ -22,7 +22,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from .server_words import is_word_of, start_of_word
+from .server_backoffs import may_come_from_start, resolve_start
 
 
 #: Limits that are kept; the one heard of longest ago goes first.  Five times the
@@ -39,7 +39,7 @@
     Attributes:
         per_s: The requests that it takes a second, of all instances together; infinite
             where it has named none since.
-        born_ms: Which start of the server was listed; 0 where it tells none.
+        started_ms: Which start of the server was listed; 0 where it tells none.
         sent_ms: When the request was sent that it answered, by the time of day; 0 where
             another instance has told.
         sent_s: The same by the steady clock, in seconds.
@@ -51,7 +51,7 @@
     """
 
     per_s: float
-    born_ms: int
+    started_ms: int
     sent_ms: int
     sent_s: float
     heard_s: float
@@ -59,13 +59,15 @@
     teller: str = ""
 
     @property
-    def is_over(self) -> bool:
+    def is_lifted(self) -> bool:
         """Whether the server has said since that it takes any number."""
         return math.isinf(self.per_s)
 
-    def is_of(self, born_ms: int) -> bool:
+    def is_of(self, started_ms: int) -> bool:
         """Tell whether it is the word of a start, as far as starts are told."""
-        return is_word_of(born_ms, listed_ms=self.born_ms, sent_ms=self.sent_ms)
+        return may_come_from_start(
+            started_ms, listed_ms=self.started_ms, sent_ms=self.sent_ms
+        )
 
     def after(self, known: Limit) -> Limit | None:
         """Return what counts when it comes after a word that is known; None if that.
@@ -95,7 +97,7 @@
     def __len__(self) -> int:
         return len(self._limits)
 
-    def take(self, server_id: str, limit: Limit, *, known_ms: int = 0) -> bool:
+    def update(self, server_id: str, limit: Limit, *, known_ms: int = 0) -> bool:
         """Take a word in; tell whether it changes what all have to keep to.
 
         Args:
@@ -103,16 +105,18 @@
             limit: The word.
             known_ms: The latest start of the server that is known; 0 if none is told.
         """
-        born_ms = start_of_word(limit.born_ms, known_ms=known_ms, sent_ms=limit.sent_ms)
-        if born_ms is None:
+        started_ms = resolve_start(
+            limit.started_ms, known_ms=known_ms, sent_ms=limit.sent_ms
+        )
+        if started_ms is None:
             return False
-        limit = limit._replace(born_ms=born_ms)
+        limit = limit._replace(started_ms=started_ms)
         known = self._limits.get(server_id)
-        if known is not None and not known.is_of(limit.born_ms):
-            if 0 < limit.born_ms < known.born_ms:
+        if known is not None and not known.is_of(limit.started_ms):
+            if 0 < limit.started_ms < known.started_ms:
                 return False
             known = None
-        if known is None and limit.is_over:
+        if known is None and limit.is_lifted:
             return False
         counting = limit if known is None else limit.after(known)
         if counting is None:
@@ -120,10 +124,10 @@
         self._keep(server_id, counting)
         return known is None or known.per_s != limit.per_s
 
-    def get(self, server_id: str, *, born_ms: int = 0) -> Limit | None:
+    def get(self, server_id: str, *, started_ms: int = 0) -> Limit | None:
         """Return the limit of a start of a server, or None if it has named none."""
         limit = self._limits.get(server_id)
-        if limit is None or limit.is_over or not limit.is_of(born_ms):
+        if limit is None or limit.is_lifted or not limit.is_of(started_ms):
             return None
         return limit
 
@@ -133,7 +137,9 @@
 
     def known(self) -> Mapping[str, Limit]:
         """Return, by server, the limits that are not over."""
-        return {one: limit for one, limit in self._limits.items() if not limit.is_over}
+        return {
+            one: limit for one, limit in self._limits.items() if not limit.is_lifted
+        }
 
     def _keep(self, server_id: str, limit: Limit) -> None:
         """Keep a word, and no more than the bound of them."""
@@ -141,7 +147,7 @@
         over = [
             one
             for one, known in self._limits.items()
-            if known.is_over and limit.heard_s - known.heard_s > _END_REMEMBERED_S
+            if known.is_lifted and limit.heard_s - known.heard_s > _END_REMEMBERED_S
         ]
         for one in over:
             del self._limits[one]
--- a/src/violethatch/server_starts.py
+++ b/src/violethatch/server_starts.py
@@ -26,7 +26,7 @@
 class _Newest(NamedTuple):
     """The latest start of a server, and since when it is known."""
 
-    born_ms: int
+    started_ms: int
     since_s: float
 
 
@@ -52,14 +52,16 @@
             now_s: The current monotonic time, in seconds.
         """
         newest = self._recent(server.id, now_s)
-        if newest is not None and 0 < server.born_ms < newest.born_ms:
+        if newest is not None and 0 < server.started_ms < newest.started_ms:
             self._waiting[server.id] = server
             return False
         self._waiting.pop(server.id, None)
-        is_new = known is None or server.born_ms != known.born_ms
-        if server.born_ms and is_new:
-            since = newest if newest and newest.born_ms == server.born_ms else None
-            self._newest[server.id] = since or _Newest(server.born_ms, now_s)
+        is_new = known is None or server.started_ms != known.started_ms
+        if server.started_ms and is_new:
+            since = (
+                newest if newest and newest.started_ms == server.started_ms else None
+            )
+            self._newest[server.id] = since or _Newest(server.started_ms, now_s)
         return True
 
     def gone(self, server_id: str) -> None:
--- a/src/violethatch/sightings.py
+++ b/src/violethatch/sightings.py
@@ -42,7 +42,7 @@
     trouble: Trouble
     rest_s: float
     #: Which start of the server had it; 0 where it tells none.
-    born_ms: int = 0
+    started_ms: int = 0
 
 
 def is_worth_telling(trouble: Trouble) -> bool:
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -561,7 +561,9 @@
         held = self._work.held_back()
         if held is not None:
             return held
-        self._routing.gate.explain(self._call.id, self._service.name)
+        self._routing.flow_control.log_blocked_servers(
+            self._call.id, self._service.name
+        )
         blocked = self._routing.blocked(self._service, priority=self._admitted.priority)
         blocked_s = _NO_HOLDER_S if blocked is None else blocked.left_s
         retry_after_s = self._routing.admission.retry_after_s(
--- a/src/violethatch/streams/_check.py
+++ b/src/violethatch/streams/_check.py
@@ -204,7 +204,7 @@
         restarted = [
             one
             for one in asked
-            if one.id in reports and 0 < one.born_ms < reports[one.id].born_ms
+            if one.id in reports and 0 < one.started_ms < reports[one.id].started_ms
         ]
         for server in restarted:
             self._routing.ends.note_ended(server)
--- a/src/violethatch/suspicion/_server_ends.py
+++ b/src/violethatch/suspicion/_server_ends.py
@@ -167,7 +167,7 @@
         listed = self._listed(server.id)
         if listed is None or listed.is_leaving or server.lifetime in self._planned_s:
             return False
-        if server.born_ms < listed.born_ms and server.born_ms:
+        if server.started_ms < listed.started_ms and server.started_ms:
             self.note_ended(server)
             return True
         if _is_within(
--- a/src/violethatch/upstream.py
+++ b/src/violethatch/upstream.py
@@ -164,52 +164,52 @@
     """
 
 
-class ServerWord(NamedTuple):
+class ServerSignals(NamedTuple):
     """What a server says of itself in the head of an answer, whatever that answers.
 
     Attributes:
         status: The answer's status.
-        rest_s: For how long it wants nothing from this instance, in seconds; None if
+        backoff_s: For how long it wants nothing from this instance, in seconds; None if
             it asks for no rest.
         is_binding: Whether that is a promise to keep, else a wish: a server that has
             no room for anybody asks for it, one that only limits how much it gets
             serves others of the same caller meanwhile.
         is_leaving: It will end.
-        limit_a_s: How many requests a second it takes from all instances together;
+        limit_per_s: How many requests a second it takes from all instances together;
             infinite if it names no limit, None if the answer doesn't tell.
-        unread: What of it can't be understood, shortened; empty if all can.
-        unknown: Names of words of the platform's that nothing reads.
+        invalid: What of it can't be understood, shortened; empty if all can.
+        unknown_headers: Names of words of the platform's that nothing reads.
         sent_ms: When the server was asked, by the time of day; 0 if that isn't known.
             Its start may be a later one than the list tells yet.
         sent_s: The same by the steady clock, in seconds.
     """
 
     status: int = 0
-    rest_s: float | None = None
+    backoff_s: float | None = None
     is_binding: bool = False
     is_leaving: bool = False
-    limit_a_s: float | None = None
-    unread: str = ""
-    unknown: tuple[str, ...] = ()
+    limit_per_s: float | None = None
+    invalid: str = ""
+    unknown_headers: tuple[str, ...] = ()
     sent_ms: int = 0
     sent_s: float = 0.0
 
     @property
-    def named_limit_a_s(self) -> float | None:
+    def finite_limit_per_s(self) -> float | None:
         """The limit that it names, if it names one."""
-        limit_a_s = self.limit_a_s
+        limit_a_s = self.limit_per_s
         return None if limit_a_s is None or math.isinf(limit_a_s) else limit_a_s
 
     @property
-    def is_said(self) -> bool:
+    def has_signals(self) -> bool:
         """Whether it says anything beside how many requests it takes."""
-        return self.rest_s is not None or self.is_leaving or bool(self.unread)
+        return self.backoff_s is not None or self.is_leaving or bool(self.invalid)
 
 
-NO_WORD = ServerWord()
+NO_SIGNALS = ServerSignals()
 
 
-class ServerGate(Protocol):
+class FlowControl(Protocol):
     """Knows what servers have said of themselves, and what may be sent to them."""
 
     async def admit(
@@ -259,17 +259,19 @@
     ) -> None:
         """Use a permit up, or keep it for another send if nothing was written."""
 
-    def heard(self, server: BackendServer, word: ServerWord, request_id: str) -> None:
+    def record_signals(
+        self, server: BackendServer, signals: ServerSignals, request_id: str
+    ) -> None:
         """Take a server's word in, as soon as an answer's head is there.
 
         Args:
             server: Who has answered.
-            word: What it says.
+            signals: What it says.
             request_id: Names the call; empty where it was none.
         """
 
 
-class OpenGate:
+class NoFlowControl:
     """Lets everything through, and hears nothing."""
 
     async def admit(
@@ -297,8 +299,8 @@
     ) -> None:
         """Keep no permits."""
 
-    def heard(
-        self, _server: BackendServer, _word: ServerWord, _request_id: str
+    def record_signals(
+        self, _server: BackendServer, _signals: ServerSignals, _request_id: str
     ) -> None:
         """Pass over a server's word."""
 
@@ -309,12 +311,12 @@
     Attributes:
         address: Who is at fault, where the answer names another runner.
         is_misdirected: The server is another one, or lacks the layers.
-        word: What the server says of itself beside that.
+        signals: What the server says of itself beside that.
     """
 
     address: str | None
     is_misdirected: bool
-    word: ServerWord = NO_WORD
+    signals: ServerSignals = NO_SIGNALS
 
 
 class ServerLoad(NamedTuple):
@@ -390,7 +392,7 @@
         kv_used_part: The part of its KV cache that is taken.
         slowness: Above 1, how much slower it is than its kind.
         stalled: By call, the address of the runner that it waits for.
-        born_ms: When it started, by its own time of day; 0 where it doesn't tell.
+        started_ms: When it started, by its own time of day; 0 where it doesn't tell.
     """
 
     sequence: int
@@ -401,7 +403,7 @@
     slowness: float
     layers: LayerRange | None
     stalled: Mapping[str, str]
-    born_ms: int = 0
+    started_ms: int = 0
 
 
 class RunnerClient(Protocol):
@@ -414,7 +416,7 @@
         gate: Whoever uses the client sets it.
     """
 
-    gate: ServerGate
+    gate: FlowControl
 
     async def send(self, send: Send) -> Answer:
         """Send a call; return its answer once the head is there.
--- a/tests/asking_servers.py
+++ b/tests/asking_servers.py
@@ -149,9 +149,9 @@
         """Listen no more."""
         await self._serving.cleanup()
 
-    def start_again(self, born_ms):
+    def start_again(self, started_ms):
         """Be another start under the same id, which has said nothing yet."""
-        self.listed = self.listed._replace(born_ms=born_ms)
+        self.listed = self.listed._replace(started_ms=started_ms)
         self.asks_for = None
         self.is_leaving = False
         self.limit_a_s = None
@@ -186,44 +186,44 @@
             heads["Server-Leaving"] = "1"
         return heads
 
-    def _answer(self, heads, born_ms, **answer):
+    def _answer(self, heads, started_ms, **answer):
         """Answer now, and note what is said by it: nobody can know it sooner."""
         now_s = clocks.now_s()
         if heads.keys() & {"Server-Limit", "Server-Leaving", "Retry-After"}:
             self.said_s = self.said_s or now_s
         machine = heads[ID].partition("-")[0]
         if "Server-Leaving" in heads:
-            self.departures.append((machine, now_s, born_ms))
+            self.departures.append((machine, now_s, started_ms))
         if "Retry-After" in heads:
-            self.words.append((machine, now_s, heads["Retry-After"], born_ms))
+            self.words.append((machine, now_s, heads["Retry-After"], started_ms))
         return web.Response(headers=heads, **answer)
 
     async def _report(self, request):
         self.arrived.append(("report", clocks.now_s()))
         body = {"Sequence": 0, "Busy": False, "layers": None, "stalled": []}
         heads = self._heads(request)
-        return self._answer(heads, self.listed.born_ms, body=json.dumps(body))
+        return self._answer(heads, self.listed.started_ms, body=json.dumps(body))
 
     async def _order(self, request):
         order = await request.json()
         self.arrived.append((order["op"], clocks.now_s()))
-        return self._answer(self._heads(request), self.listed.born_ms, body=b"{}")
+        return self._answer(self._heads(request), self.listed.started_ms, body=b"{}")
 
     async def _serve(self, request):
         self._peers.add(request.transport.get_extra_info("peername"))
         call_id = request.headers.get(ID, "")
-        born_ms = self.listed.born_ms
+        started_ms = self.listed.started_ms
         self.arrived.append((call_id, clocks.now_s()))
-        self.arrivals_by_start.append((*self.arrived[-1], born_ms))
+        self.arrivals_by_start.append((*self.arrived[-1], started_ms))
         heads = self._heads(request)
         if self.asks_for is not None:
             heads |= {"Violethatch-Not-Executed": "1", "Retry-After": self.asks_for}
-            return self._answer(heads, born_ms, status=503)
+            return self._answer(heads, started_ms, status=503)
         self.ran.append(call_id)
         await asyncio.sleep(self.work_s())
         is_plain = request.path.startswith("/label/")
         body = b"done" if is_plain else b"id: 1\ndata: 1\n\n"
-        return self._answer(heads, born_ms, body=body)
+        return self._answer(heads, started_ms, body=body)
 
 
 class Machine:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -79,7 +79,7 @@
 
 def born(ms, **changes):
     """Return an entry of one server's start."""
-    return plain_server("a", born_ms=ms, **changes)
+    return plain_server("a", started_ms=ms, **changes)
 
 
 class TestStarts:
@@ -91,7 +91,7 @@
         table.change([born(100)], [], now_s=0.0)
         change = table.change([born(200)], [], now_s=1.0)
         assert (change.found, change.restarted) == ((), (born(100),))
-        assert table.get("a").born_ms == 200
+        assert table.get("a").started_ms == 200
 
     def test_same_start_is_no_new_one(self):
         """Its entry changes with its layers and its state."""
@@ -106,10 +106,10 @@
         table.change([born(100)], [], now_s=0.0)
         table.change([born(200)], [], now_s=1.0)
         assert table.change([born(100)], [], now_s=2.0).restarted == ()
-        assert table.get("a").born_ms == 200
+        assert table.get("a").started_ms == 200
         table.change([born(200)], [], now_s=3.0)
         table.take_waiting(now_s=60.0)
-        assert table.get("a").born_ms == 200
+        assert table.get("a").started_ms == 200
 
     def test_earlier_start_does_not_come_back_after_the_later_one_has_left(self):
         """Nor is it found as a new server then."""
@@ -124,10 +124,10 @@
         table = BackendTable()
         table.change([born(200)], [], now_s=0.0)
         table.change([born(100)], [], now_s=1.0)
-        assert table.get("a").born_ms == 200
+        assert table.get("a").started_ms == 200
         assert table.take_waiting(now_s=9.0).restarted == ()
         assert table.take_waiting(now_s=10.0).restarted == (born(200),)
-        assert table.get("a").born_ms == 100
+        assert table.get("a").started_ms == 100
 
     def test_step_back_long_after_the_start_counts_at_once(self):
         """No write is on its way for so long."""
@@ -135,7 +135,7 @@
         table.change([born(200)], [], now_s=0.0)
         change = table.change([born(100)], [], now_s=60.0)
         assert change.restarted == (born(200),)
-        assert table.get("a").born_ms == 100
+        assert table.get("a").started_ms == 100
 
     def test_server_that_tells_no_start(self):
         """It is taken as it comes, before and after one that does."""
@@ -150,7 +150,7 @@
         table = BackendTable()
         table.replace([born(200)], now_s=0.0)
         assert table.replace([born(100)], now_s=1.0).restarted == ()
-        assert table.get("a").born_ms == 200
+        assert table.get("a").started_ms == 200
         assert table.replace([born(300)], now_s=2.0).restarted == (born(200),)
 
     @given(
@@ -173,17 +173,17 @@
             if ms > newest:
                 newest, newest_s = ms, now_s
             known = table.get("a")
-            if known is not None and known.born_ms and now_s < newest_s + 10.0:
-                assert known.born_ms == newest
+            if known is not None and known.started_ms and now_s < newest_s + 10.0:
+                assert known.started_ms == newest
 
 
 class TestOwnWord:
     """A server says itself that it leaves, whatever its entry says."""
 
-    def table(self, *, born_ms=5):
+    def table(self, *, started_ms=5):
         """Return a table with a server, and its entry."""
         table = BackendTable()
-        one = plain_server("a", born_ms=born_ms)
+        one = plain_server("a", started_ms=started_ms)
         table.change([one], [], now_s=0.0)
         return table, one
 
@@ -219,13 +219,13 @@
         """It is another process, which has said nothing."""
         table, one = self.table()
         table.note_leaving("a", 5, now_s=1.0)
-        table.change([one._replace(born_ms=9)], [], now_s=2.0)
+        table.change([one._replace(started_ms=9)], [], now_s=2.0)
         assert ids(table) == {"a"}
         assert table.leaving_for_s("a", now_s=3.0) == 0.0
 
     def test_word_of_an_earlier_start_comes_late(self):
         """It says nothing of the start that is listed."""
-        table, _ = self.table(born_ms=9)
+        table, _ = self.table(started_ms=9)
         assert not table.note_leaving("a", 5, now_s=1.0)
         assert ids(table) == {"a"}
 
@@ -243,21 +243,21 @@
         assert ids(table) == {"a"}
         table.change([one._replace(slots=9)], [], now_s=2.0)
         assert ids(table) == {"a"}
-        table.change([one._replace(born_ms=9)], [], now_s=3.0)
+        table.change([one._replace(started_ms=9)], [], now_s=3.0)
         assert ids(table) == set()
 
     def test_new_start_answers_before_the_list_tells_of_it(self):
         """What was asked after its birth is its word, whatever was listed then."""
         table, one = self.table()
         table.note_leaving("a", 5, sent_ms=12, now_s=1.0)
-        table.change([one._replace(born_ms=9)], [], now_s=3.0)
+        table.change([one._replace(started_ms=9)], [], now_s=3.0)
         assert ids(table) == set()
-        table.change([one._replace(born_ms=20)], [], now_s=4.0)
+        table.change([one._replace(started_ms=20)], [], now_s=4.0)
         assert ids(table) == {"a"}
 
     def test_word_that_is_read_after_the_list_has_told(self):
         """It is the new start's if it was asked for after its birth."""
-        table, _ = self.table(born_ms=9)
+        table, _ = self.table(started_ms=9)
         assert not table.note_leaving("a", 5, sent_ms=7, now_s=1.0)
         assert ids(table) == {"a"}
         assert table.note_leaving("a", 5, sent_ms=12, now_s=1.0)
@@ -269,7 +269,7 @@
         table.note_leaving("a", 9, now_s=1.0)
         table.note_leaving("a", 5, now_s=1.5)
         assert ids(table) == set()
-        table.change([one._replace(born_ms=9)], [], now_s=3.0)
+        table.change([one._replace(started_ms=9)], [], now_s=3.0)
         assert ids(table) == set()
 
     def test_bound_on_what_is_remembered(self):
--- a/tests/test_limit_figures.py
+++ b/tests/test_limit_figures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from violethatch.limit_figures import MOST_A_S, read_limit
+from violethatch.limit_header import MAX_LIMIT_PER_S, parse_limit
 
 
 @pytest.mark.parametrize(
@@ -25,13 +25,13 @@
 )
 def test_figures(values, per_s):
     """Of several the lowest counts, however they came."""
-    figure = read_limit(values)
-    assert (figure.per_s, figure.unread, figure.is_cut) == (per_s, "", False)
+    figure = parse_limit(values)
+    assert (figure.per_s, figure.invalid, figure.exceeds_max) == (per_s, "", False)
 
 
 def test_no_figure_is_no_limit():
     """An answer without the word."""
-    assert read_limit([]).per_s == math.inf
+    assert parse_limit([]).per_s == math.inf
 
 
 @pytest.mark.parametrize(
@@ -40,21 +40,21 @@
 )
 def test_what_is_no_number(value):
     """It says nothing either way, and is told."""
-    figure = read_limit([value])
+    figure = parse_limit([value])
     assert figure.per_s is None
-    assert figure.unread == (value or "(empty)")
+    assert figure.invalid == (value or "(empty)")
 
 
 def test_sound_figure_beside_another():
     """What can be understood counts, and the rest is told."""
-    figure = read_limit(["soon", "3"])
-    assert (figure.per_s, figure.unread) == (3.0, "soon")
+    figure = parse_limit(["soon", "3"])
+    assert (figure.per_s, figure.invalid) == (3.0, "soon")
 
 
 @pytest.mark.parametrize("value", ["1000000000", "1000.1", "9" * 64, "9" * 400])
 def test_limits_nothing(value):
     """What is beyond any fleet's need is no limit, and is told."""
-    figure = read_limit([value])
+    figure = parse_limit([value])
     assert figure.per_s == math.inf
-    assert figure.is_cut
-    assert read_limit([str(int(MOST_A_S))]).per_s == MOST_A_S
+    assert figure.exceeds_max
+    assert parse_limit([str(int(MAX_LIMIT_PER_S))]).per_s == MAX_LIMIT_PER_S
--- a/tests/test_limit_link.py
+++ b/tests/test_limit_link.py
@@ -14,14 +14,14 @@
 from routing_samples import runner
 from standstill import bytes_that_come
 from violethatch import _limit_link, clocks
+from violethatch._flow_control import FlowController
 from violethatch._limit_link import LimitLink
 from violethatch._peer_datagrams import PermitDatagram
-from violethatch._word_gate import WordGate
 from violethatch.backends import BackendTable
 from violethatch.event_loop import EventLoop
-from violethatch.limit_permits import SPAN_S
+from violethatch.limit_permits import WINDOW_S
 from violethatch.server_limits import Limit
-from violethatch.upstream import ServerWord
+from violethatch.upstream import ServerSignals
 
 
 #: The server in need; it stands in the zone of every third instance.
@@ -38,25 +38,28 @@
         self.datagrams = network.join(own, entries)
         backends = BackendTable()
         backends.change([SERVER], [], now_s=clocks.now_s())
-        self.words = WordGate(backends, rng=rng)
-        self.gate = self.words.limits
+        self.words = FlowController(backends, rng=rng)
+        self.flow_control = self.words.limits
         self.is_leaving = False
         self.link = LimitLink(
-            self.datagrams, self.gate, rng=rng, is_leaving=lambda: self.is_leaving
+            self.datagrams,
+            self.flow_control,
+            rng=rng,
+            is_leaving=lambda: self.is_leaving,
         )
-        self.link._started_s -= 2 * SPAN_S
-        self.gate.ask_permit = self.link.ask
-        self.gate.tell = self.link.tell
+        self.link._started_s -= 2 * WINDOW_S
+        self.flow_control.request_permit = self.link.request_permit
+        self.flow_control.announce = self.link.announce
 
     def hear(self, limit_a_s):
         """Let the server name a limit, or none, in an answer to this instance."""
         now_s = clocks.now_s()
-        word = ServerWord(status=200, limit_a_s=limit_a_s, sent_s=now_s)
-        self.words.heard(SERVER, word, "c1")
+        word = ServerSignals(status=200, limit_per_s=limit_a_s, sent_s=now_s)
+        self.words.record_signals(SERVER, word, "c1")
 
     def limit_a_s(self):
         """Return the limit that it knows; None if there is none."""
-        limit = self.gate.limit_of(SERVER.id)
+        limit = self.flow_control.limit_of(SERVER.id)
         return limit.per_s if limit else None
 
     def keeper_id(self):
@@ -66,7 +69,9 @@
 
     async def ask(self):
         """Ask for a permit."""
-        return await self.link.ask(SERVER, self.gate.limit_of(SERVER.id), 0)
+        return await self.link.request_permit(
+            SERVER, self.flow_control.limit_of(SERVER.id), 0
+        )
 
     def list(self, entries):
         """Take a list of instances in."""
@@ -186,10 +191,10 @@
         await asyncio.sleep(0.05)
         one = next(one for one in members.all if one is not members.keeper())
         now_s = clocks.now_s()
-        members.keeper().gate.known.take(
+        members.keeper().flow_control.known.update(
             "s1", Limit(math.inf, 0, 0, now_s, now_s + 0.001)
         )
-        assert (await one.ask()).is_given
+        assert (await one.ask()).is_granted
         await asyncio.sleep(0.05)
         assert one.limit_a_s() is None
 
@@ -203,7 +208,7 @@
         """Then it is one of all."""
         members = Members(2)
         for member in members.all:
-            member.gate._backends.change(
+            member.flow_control._backends.change(
                 [SERVER._replace(availability_zone="z9")], [], now_s=0.0
             )
         members.keeper()
@@ -219,7 +224,7 @@
         asked_s = clocks.now_s()
         for _ in range(6):
             replies = await asyncio.gather(*(one.ask() for one in rest))
-            assert not any(one.is_given for one in replies)
+            assert not any(one.is_granted for one in replies)
         assert clocks.now_s() - asked_s < 1.5
         assert {one.keeper_id() for one in rest}.isdisjoint({gone.own.id})
 
@@ -261,7 +266,7 @@
         given_s = []
         until_s = clocks.now_s() + 2.5
         while clocks.now_s() < until_s:
-            if (await alone.ask()).is_given:
+            if (await alone.ask()).is_granted:
                 given_s.append(clocks.now_s())
             await asyncio.sleep(0.02)
         assert 1 <= len(given_s) <= 4
@@ -279,11 +284,11 @@
             keeper.is_leaving = True
         for _ in range(30):
             await asyncio.gather(*(one.ask() for one in members.all))
-        holders = [one for one in members.all if len(one.gate.keepers)]
+        holders = [one for one in members.all if len(one.flow_control.keepers)]
         assert len(holders) == 1
         assert holders[0] is not keeper
 
-    @pytest.mark.parametrize("then_s", [0.0, 2 * SPAN_S])
+    @pytest.mark.parametrize("then_s", [0.0, 2 * WINDOW_S])
     async def test_all_have_just_started(self, then_s):
         """They still agree on one, which stays it while the limit lasts."""
         members = Members(9)
@@ -296,7 +301,7 @@
             if number == 10:
                 for member in members.all:
                     member.link._started_s -= then_s
-        assert sum(len(one.gate.keepers) for one in members.all) == 1
+        assert sum(len(one.flow_control.keepers) for one in members.all) == 1
 
     async def test_what_was_left_to_the_next_one_comes_back(self):
         """When the limit is over, so that the next one begins at the first again."""
@@ -306,7 +311,7 @@
         members.all[0].hear(50.0)
         await asyncio.sleep(0.05)
         assert keeper.keeper_id() != keeper.own.id
-        keeper.link._started_s -= 2 * SPAN_S
+        keeper.link._started_s -= 2 * WINDOW_S
         assert keeper.keeper_id() != keeper.own.id
         members.all[0].hear(math.inf)
         await asyncio.sleep(0.05)
@@ -333,7 +338,7 @@
             members.all[int(next_id[1:])].list(members.entries)
         for _ in range(30):
             await asyncio.gather(*(one.ask() for one in asked))
-        holders = [one for one in members.all if len(one.gate.keepers)]
+        holders = [one for one in members.all if len(one.flow_control.keepers)]
         assert holders == [keeper]
 
 
@@ -355,7 +360,7 @@
             (number,) = asker.link._asked
             permit = PermitDatagram("t", keeper.own.id, number, True, 0, False)
             with bytes_that_come(lambda: asker.link._take_permit(permit), for_s=hold_s):
-                return (await asking).is_given
+                return (await asking).is_granted
 
         with asyncio.Runner(loop_factory=loop_class) as runner:
             assert runner.run(ask())
@@ -371,24 +376,26 @@
             member.hear(4.9)
         await asyncio.sleep(0.05)
         given_s = []
-        until_s = clocks.now_s() + 2 * SPAN_S
+        until_s = clocks.now_s() + 2 * WINDOW_S
 
         async def want(member):
             rng = random.Random(member.own.id)
             while clocks.now_s() < until_s:
                 await asyncio.sleep(rng.expovariate(5.0))
-                if not member.gate.permits.closed_s(now_s=clocks.now_s()):
+                if not member.flow_control.permits.blocked_s(now_s=clocks.now_s()):
                     reply = await member.ask()
                     now_s = clocks.now_s()
-                    if reply.is_given:
+                    if reply.is_granted:
                         given_s.append(now_s)
                     else:
-                        member.gate.permits.close(SERVER.id, reply.wait_s, now_s=now_s)
+                        member.flow_control.permits.block(
+                            SERVER.id, reply.wait_s, now_s=now_s
+                        )
 
         await asyncio.gather(*(want(one) for one in members.all))
-        assert most_within(given_s, SPAN_S) <= SPAN_S * 4.9
+        assert most_within(given_s, WINDOW_S) <= WINDOW_S * 4.9
         if not lost_part:
-            assert len(given_s) >= 0.9 * 4.9 * 2 * SPAN_S - 2
+            assert len(given_s) >= 0.9 * 4.9 * 2 * WINDOW_S - 2
 
     async def test_answer_that_comes_twice_or_late(self):
         """It is taken once, from who was asked, while somebody waits for it."""
--- a/tests/test_limit_permits.py
+++ b/tests/test_limit_permits.py
@@ -14,11 +14,11 @@
 from violethatch.limit_permits import (
     LEAST_A_S,
     PERMIT_LIFE_S,
-    SPAN_S,
+    WINDOW_S,
     Permit,
-    PermitKeeper,
-    PermitKeepers,
-    PermitStock,
+    PermitCache,
+    PermitIssuer,
+    PermitIssuers,
 )
 
 
@@ -47,8 +47,8 @@
     def __init__(self, instances, demand_a_s, *, seed=1):
         self.rng = random.Random(seed)
         self.each_a_s = demand_a_s / instances
-        self.stocks = [PermitStock() for _ in range(instances)]
-        self.keeper = PermitKeeper(rng=self.rng, now_s=0.0)
+        self.stocks = [PermitCache() for _ in range(instances)]
+        self.keeper = PermitIssuer(rng=self.rng, now_s=0.0)
         self.sent_s = []
         self.asks = 0
         #: The priorities that requests have, each as often, and how many were sent.
@@ -73,20 +73,22 @@
         """Send a request with a permit, if there is one; use it late by chance."""
         stock = self.stocks[one]
         priority = self.rng.choice(self.priorities)
-        if stock.closed_s(priority=priority, now_s=now_s):
+        if stock.blocked_s(priority=priority, now_s=now_s):
             return
         self.asks += 1
-        reply = self.keeper.ask(str(one), per_s, priority=priority, now_s=now_s + WAY_S)
-        if reply.is_given:
+        reply = self.keeper.request(
+            str(one), per_s, priority=priority, now_s=now_s + WAY_S
+        )
+        if reply.is_granted:
             late_s = self.rng.choice((2 * WAY_S, PERMIT_LIFE_S))
             self.sent_s.append(now_s + late_s)
             self.sent_of[priority] += 1
         else:
-            stock.close("s1", reply.wait_s, priority=priority, now_s=now_s + 2 * WAY_S)
+            stock.block("s1", reply.wait_s, priority=priority, now_s=now_s + 2 * WAY_S)
 
     def most(self):
         """Return the most that came within any span."""
-        return most_within(sorted(self.sent_s), SPAN_S)
+        return most_within(sorted(self.sent_s), WINDOW_S)
 
     def used_part(self, per_s, until_s):
         """Return which part of the limit was used."""
@@ -110,8 +112,8 @@
             replay = Replay(1, max(DEMAND_A_S, 1.5 * per_s), seed=seed)
         until_s = max(LASTS_S, COUNTED_S + LEAST_SENT / per_s)
         replay.play(until_s, per_s)
-        assert replay.most() <= SPAN_S * per_s
-        whole_a_s = 1.0 / SPAN_S if SPAN_S * per_s < 2.0 else per_s
+        assert replay.most() <= WINDOW_S * per_s
+        whole_a_s = 1.0 / WINDOW_S if WINDOW_S * per_s < 2.0 else per_s
         assert replay.used_part(min(per_s, whole_a_s), until_s) >= USED_PART
 
     @pytest.mark.parametrize("seed", range(3))
@@ -124,7 +126,7 @@
         replay.priorities = (1, 2)
         replay.play(LASTS_S, per_s)
         sent = replay.sent_of
-        assert replay.most() <= SPAN_S * per_s
+        assert replay.most() <= WINDOW_S * per_s
         assert replay.used_part(per_s, LASTS_S) >= USED_PART
         assert sent[1] >= 1.5 * sent[2]
         assert sent[2] >= 0.05 * sent.total()
@@ -147,8 +149,8 @@
         fell = len(replay.sent_s)
         replay.play(60.0, 0.5)
         after = sorted(replay.sent_s[fell:])
-        assert most_within(after, SPAN_S) <= SPAN_S * 0.5
-        assert after[0] >= 20.0 + SPAN_S
+        assert most_within(after, WINDOW_S) <= WINDOW_S * 0.5
+        assert after[0] >= 20.0 + WINDOW_S
 
     @pytest.mark.parametrize("instances", [8, 350])
     def test_long_time_without_demand(self, instances):
@@ -159,7 +161,7 @@
         before = len(replay.sent_s)
         replay.play(60.0, 4.9)
         first = [at_s for at_s in replay.sent_s[before:] if at_s < 50.5]
-        assert replay.most() <= SPAN_S * 4.9
+        assert replay.most() <= WINDOW_S * 4.9
         assert len(first) <= 2 + 0.5 * 4.9
 
     @pytest.mark.parametrize("seed", range(5))
@@ -169,8 +171,8 @@
         replay = Replay(8, DEMAND_A_S * 8, seed=seed)
         for number in range(1, 8):
             replay.play(7.0 * number, per_s)
-            replay.keeper = PermitKeeper(rng=replay.rng, now_s=7.0 * number)
-        tolerated = 1.5 * SPAN_S * per_s + 5
+            replay.keeper = PermitIssuer(rng=replay.rng, now_s=7.0 * number)
+        tolerated = 1.5 * WINDOW_S * per_s + 5
         assert replay.most() <= tolerated
 
     def test_limit_of_zero(self):
@@ -184,25 +186,25 @@
 class TestKeeper:
     def test_nothing_is_due_when_a_limit_becomes_known(self):
         """Others may have sent before, which nobody has counted."""
-        keeper = PermitKeeper(rng=random.Random(1), now_s=0.0)
-        assert not keeper.ask("i1", 2.0, now_s=0.0).is_given
-        assert not keeper.ask("i1", 2.0, now_s=0.4).is_given
-        assert keeper.ask("i1", 2.0, now_s=0.5).is_given
+        keeper = PermitIssuer(rng=random.Random(1), now_s=0.0)
+        assert not keeper.request("i1", 2.0, now_s=0.0).is_granted
+        assert not keeper.request("i1", 2.0, now_s=0.4).is_granted
+        assert keeper.request("i1", 2.0, now_s=0.5).is_granted
 
     def test_wait_is_true(self):
         """Who alone asks again when it was told gets a permit."""
-        keeper = PermitKeeper(rng=random.Random(1), now_s=0.0)
+        keeper = PermitIssuer(rng=random.Random(1), now_s=0.0)
         now_s = 0.0
         for _ in range(50):
-            reply = keeper.ask("i1", 2.4, now_s=now_s)
-            if not reply.is_given:
+            reply = keeper.request("i1", 2.4, now_s=now_s)
+            if not reply.is_granted:
                 now_s += reply.wait_s
-                assert keeper.ask("i1", 2.4, now_s=now_s).is_given
+                assert keeper.request("i1", 2.4, now_s=now_s).is_granted
 
     def test_longest_wait(self):
         """Nobody is told to stay away for good."""
-        keeper = PermitKeeper(rng=random.Random(1), now_s=0.0)
-        waits_s = [keeper.ask(f"i{n}", 0.0, now_s=0.0).wait_s for n in range(350)]
+        keeper = PermitIssuer(rng=random.Random(1), now_s=0.0)
+        waits_s = [keeper.request(f"i{n}", 0.0, now_s=0.0).wait_s for n in range(350)]
         assert max(waits_s) <= 30.0
 
 
@@ -210,25 +212,25 @@
     def test_most_kept(self, monkeypatch):
         """The one that nobody asked for longest goes first."""
         monkeypatch.setattr(limit_permits, "_MOST_KEPT", 3)
-        keepers = PermitKeepers(random.Random(1))
+        keepers = PermitIssuers(random.Random(1))
         for number in range(9):
-            keepers.ask(f"s{number}", "i1", 5.0, now_s=0.0)
-        assert sorted(keepers.given_within(SPAN_S, now_s=0.0)) == ["s6", "s7", "s8"]
+            keepers.request(f"s{number}", "i1", 5.0, now_s=0.0)
+        assert sorted(keepers.given_within(WINDOW_S, now_s=0.0)) == ["s6", "s7", "s8"]
 
     def test_kept_for_longer_than_the_span(self):
         """Who comes back within it finds what was given."""
-        keepers = PermitKeepers(random.Random(1))
-        keepers.ask("s1", "i1", 5.0, now_s=0.0)
-        keepers.ask("s2", "i1", 5.0, now_s=SPAN_S + 1.0)
+        keepers = PermitIssuers(random.Random(1))
+        keepers.request("s1", "i1", 5.0, now_s=0.0)
+        keepers.request("s2", "i1", 5.0, now_s=WINDOW_S + 1.0)
         assert len(keepers) == 2
-        keepers.ask("s2", "i1", 5.0, now_s=100.0)
+        keepers.request("s2", "i1", 5.0, now_s=100.0)
         assert len(keepers) == 1
 
 
 class TestStock:
     def test_permit_that_was_not_used(self):
         """The next request uses it, once, while it is good."""
-        stock = PermitStock()
+        stock = PermitCache()
         stock.give_back("s1", Permit(1.0))
         assert stock.take("s1", now_s=0.5) == Permit(1.0)
         assert stock.take("s1", now_s=0.5) is None
@@ -236,7 +238,7 @@
         assert stock.take("s1", now_s=1.0) is None
 
     def test_several_permits(self):
-        stock = PermitStock()
+        stock = PermitCache()
         for until_s in (1.0, 2.0, 3.0):
             stock.give_back("s1", Permit(until_s))
         assert stock.take("s1", now_s=1.5) == Permit(2.0)
@@ -244,24 +246,24 @@
 
     def test_more_urgent_requests_may_ask(self):
         """What was refused says nothing of what goes before it."""
-        stock = PermitStock()
-        stock.close("s1", 2.0, priority=2, now_s=0.0)
-        assert stock.closed_s(priority=1, now_s=0.5) == {}
-        assert stock.closed_s(priority=2, now_s=0.5) == {"s1": 1.5}
-        stock.close("s1", 3.0, priority=1, now_s=0.0)
-        assert stock.closed_s(priority=2, now_s=0.5) == {"s1": 2.5}
+        stock = PermitCache()
+        stock.block("s1", 2.0, priority=2, now_s=0.0)
+        assert stock.blocked_s(priority=1, now_s=0.5) == {}
+        assert stock.blocked_s(priority=2, now_s=0.5) == {"s1": 1.5}
+        stock.block("s1", 3.0, priority=1, now_s=0.0)
+        assert stock.blocked_s(priority=2, now_s=0.5) == {"s1": 2.5}
 
     def test_longer_wait_counts(self):
-        stock = PermitStock()
-        stock.close("s1", 2.0, now_s=0.0)
-        stock.close("s1", 0.1, now_s=0.0)
-        assert stock.closed_s(now_s=0.5) == {"s1": 1.5}
-        assert stock.closed_s(now_s=2.0) == {}
+        stock = PermitCache()
+        stock.block("s1", 2.0, now_s=0.0)
+        stock.block("s1", 0.1, now_s=0.0)
+        assert stock.blocked_s(now_s=0.5) == {"s1": 1.5}
+        assert stock.blocked_s(now_s=2.0) == {}
 
     def test_limit_is_over(self):
-        stock = PermitStock()
-        stock.close("s1", 2.0, now_s=0.0)
+        stock = PermitCache()
+        stock.block("s1", 2.0, now_s=0.0)
         stock.used("s1", now_s=0.0)
-        stock.forget("s1")
-        assert stock.closed_s(now_s=0.5) == {}
-        assert stock.used_within("s1", SPAN_S, now_s=0.5) == 0
+        stock.discard("s1")
+        assert stock.blocked_s(now_s=0.5) == {}
+        assert stock.used_within("s1", WINDOW_S, now_s=0.5) == 0
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -14,7 +14,7 @@
 from violethatch.load_sums import LoadTotals, ServerTotals, server_number
 from violethatch.path_shares import Place
 from violethatch.runner_health import Trouble
-from violethatch.upstream import ServerLoad, ServerWord
+from violethatch.upstream import ServerLoad, ServerSignals
 
 
 ZONE = "heredia"
@@ -148,14 +148,14 @@
         (one,) = routings(1, *NEAR[:8])
         now_s = clocks.now_s()
         for server, rest_s in ((NEAR[0], 9.0), (NEAR[4], 2.0), (NEAR[5], 1.9)):
-            word = ServerWord(status=503, rest_s=rest_s, is_binding=True)
-            one.gate.heard(server, word, "c1")
+            word = ServerSignals(status=503, backoff_s=rest_s, is_binding=True)
+            one.flow_control.record_signals(server, word, "c1")
         for _ in range(2):
             blocked = one.blocked(SERVICE)
             assert 1.8 <= blocked.asked_s <= 2.0
             assert blocked.left_s == blocked.asked_s
-        one.gate.heard(
-            NEAR[1], ServerWord(status=503, rest_s=1.0, is_binding=True), "c2"
+        one.flow_control.record_signals(
+            NEAR[1], ServerSignals(status=503, backoff_s=1.0, is_binding=True), "c2"
         )
         assert one.blocked(SERVICE).asked_s <= 2.0
         for server in (NEAR[3], NEAR[7]):
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -112,11 +112,11 @@
 
     async def test_order_is_for_the_start_that_is_listed(self):
         """A runner that has started again since the list told of it gets none."""
-        listed = [one._replace(born_ms=100) for one in FLEET]
+        listed = [one._replace(started_ms=100) for one in FLEET]
         duty, client, _ = make_duty(FakeStore(), *listed)
         for one in listed:
-            client.reports[one.id] = client.reports[one.id]._replace(born_ms=100)
-        client.reports["a"] = client.reports["a"]._replace(born_ms=200)
+            client.reports[one.id] = client.reports[one.id]._replace(started_ms=100)
+        client.reports["a"] = client.reports["a"]._replace(started_ms=200)
         await duty._look()
         assert {order[0] for order in client.placed} == {"b", "c"}
 
@@ -125,7 +125,7 @@
         duty, _, routing = make_duty(FakeStore(), *FLEET)
         await duty._look()
         assert "a" in duty._ordered
-        again = FLEET[0]._replace(born_ms=200)
+        again = FLEET[0]._replace(started_ms=200)
         routing.backends.change([again], [], now_s=clocks.now_s())
         await duty._look()
         assert set(duty._ordered) == {"b", "c"}
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -42,8 +42,12 @@
     def __init__(self):
         self.words = []
 
-    def heard(self, server, word, request_id):
-        if word.is_said or word.named_limit_a_s is not None or word.unknown:
+    def record_signals(self, server, word, request_id):
+        if (
+            word.has_signals
+            or word.finite_limit_per_s is not None
+            or word.unknown_headers
+        ):
             self.words.append((server.id, word, request_id))
 
     async def admit(self, _server, _sending, _request_id, *, priority):
@@ -109,7 +113,7 @@
     server.headers = [("Server-Leaving", "1")]
     await ask(runners, server, how)
     ((server_id, word, _),) = set(runners.gate.words)
-    assert (server_id, word.is_leaving, word.rest_s, word.unread) == (
+    assert (server_id, word.is_leaving, word.backoff_s, word.invalid) == (
         "s1",
         True,
         None,
@@ -124,7 +128,7 @@
     server.headers = [("Retry-After", "2.5"), ("Violethatch-Not-Executed", "1")]
     await ask(runners, server, how)
     ((_, word, request_id),) = set(runners.gate.words)
-    assert (word.rest_s, word.status) == (2.5, 503)
+    assert (word.backoff_s, word.status) == (2.5, 503)
     assert request_id == ("" if how in ("report", "order") else "c1")
 
 
@@ -149,7 +153,7 @@
     server.status = 503
     server.headers = [("Retry-After", "2"), ("Violethatch-Not-Executed", "1")]
     answer = await ask(runners, server, "call")
-    assert answer.refusal.word.rest_s == 2.0
+    assert answer.refusal.signals.backoff_s == 2.0
 
 
 async def test_two_figures(runners, server):
@@ -157,7 +161,7 @@
     server.status = 503
     server.headers = [("Retry-After", "1"), ("Retry-After", "3")]
     await ask(runners, server, "call")
-    assert runners.gate.words[0][1].rest_s == 3.0
+    assert runners.gate.words[0][1].backoff_s == 3.0
 
 
 @pytest.mark.parametrize(
@@ -192,8 +196,8 @@
     server.headers = [header]
     await ask(runners, server, "call")
     ((_, word, _),) = runners.gate.words
-    assert word.unread
-    assert (word.rest_s, word.is_leaving) == (None, False)
+    assert word.invalid
+    assert (word.backoff_s, word.is_leaving) == (None, False)
 
 
 async def test_word_beside_another_calls_answer(runners, server):
@@ -213,7 +217,7 @@
     server.headers = [("Server-Limit", "2.4"), ("Retry-After", "1")]
     await ask(runners, server, how)
     ((_, word, _),) = set(runners.gate.words)
-    assert word.limit_a_s == 2.4
+    assert word.limit_per_s == 2.4
     assert word.sent_s > 0
 
 
@@ -225,7 +229,7 @@
     server.status = status
     server.headers = [("Server-Leaving", "1")]
     await ask(runners, server, "call")
-    assert runners.gate.words[0][1].limit_a_s == limit_a_s
+    assert runners.gate.words[0][1].limit_per_s == limit_a_s
 
 
 async def test_limit_beside_another_calls_answer(runners, server):
@@ -235,7 +239,7 @@
     with pytest.raises(AnswerLostError):
         await ask(runners, server, "call")
     ((_, word, _),) = runners.gate.words
-    assert (word.limit_a_s, word.sent_s) == (2.4, 0.0)
+    assert (word.limit_per_s, word.sent_s) == (2.4, 0.0)
 
 
 async def test_garbled_limit_is_told(runners, server):
@@ -243,7 +247,7 @@
     server.headers = [("Server-Limit", "few")]
     await ask(runners, server, "call")
     ((_, word, _),) = runners.gate.words
-    assert (word.limit_a_s, word.unread) == (None, "limit few")
+    assert (word.limit_per_s, word.invalid) == (None, "limit few")
 
 
 async def test_words_that_nothing_reads(runners, server):
@@ -253,8 +257,11 @@
     server.headers = [(name, "1") for name in names]
     await ask(runners, server, "call")
     ((_, word, _),) = runners.gate.words
-    assert len(word.unknown) == 4
-    assert max(map(len, word.unknown)) == 64
+    assert len(word.unknown_headers) == 4
+    assert max(map(len, word.unknown_headers)) == 64
     server.headers = [(name, "1") for name in names[:5]]
     await ask(runners, server, "call")
-    assert runners.gate.words[1][1].unknown == ("server-mood", "violethatch-new-word")
+    assert runners.gate.words[1][1].unknown_headers == (
+        "server-mood",
+        "violethatch-new-word",
+    )
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -10,8 +10,8 @@
 
 from router_fakes import FakeClient, make_routing, report
 from routing_samples import plain_server, runner
-from violethatch import _rest_watch, clocks, runner_paces
-from violethatch._rest_watch import RestWatch
+from violethatch import _health_checks, clocks, runner_paces
+from violethatch._health_checks import HealthCheckLoop
 from violethatch.runner_health import Trouble
 
 
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def all_due(monkeypatch):
     """Let each runner that rests be asked at each look."""
-    monkeypatch.setattr(_rest_watch, "_ASK_S", 0.0)
+    monkeypatch.setattr(_health_checks, "_ASK_S", 0.0)
 
 
 def resting(routing, *, in_s=0.0):
@@ -37,7 +37,7 @@
         routing = make_routing(client, A, B, rng=random.Random(1))
         for server in (A, B):
             routing.note_trouble(server, Trouble.SILENT, "r", "dead")
-        await RestWatch(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing) == {"b"}
 
     async def test_silent_runner_rests_on(self):
@@ -46,7 +46,7 @@
         routing.note_trouble(A, Trouble.SILENT, "r", "dead")
         routing.health.prolong("a", now_s=clocks.now_s() - 2.0)
         ends_s = routing.settings.bounds.stall_s - 0.01
-        watch = RestWatch(routing, rng=random.Random(1))
+        watch = HealthCheckLoop(routing, rng=random.Random(1))
         await asyncio.sleep(0.05)
         assert resting(routing, in_s=ends_s) == set()
         await watch.look()
@@ -57,7 +57,7 @@
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         routing.note_trouble(A, Trouble.SILENT, "r", "dead")
         for _ in range(9):
-            await RestWatch(routing, rng=random.Random(1)).look()
+            await HealthCheckLoop(routing, rng=random.Random(1)).look()
         longest_s = routing.settings.bounds.stall_s + 0.1
         assert resting(routing, in_s=longest_s) == set()
 
@@ -68,19 +68,19 @@
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
         routing.note_trouble(A, trouble, "r", "")
-        await RestWatch(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing) == {"a"}
 
     async def test_plain_servers_are_not_asked(self):
         """They give no reports."""
         routing = make_routing(FakeClient(), plain_server("p"), rng=random.Random(1))
         routing.note_trouble(plain_server("p"), Trouble.SILENT, "r", "")
-        await RestWatch(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing, in_s=routing.settings.bounds.stall_s) == set()
 
     async def test_many_instances_ask_seldom(self, monkeypatch):
         """What all of them ask together stays bounded."""
-        monkeypatch.setattr(_rest_watch, "_ASK_S", 0.05)
+        monkeypatch.setattr(_health_checks, "_ASK_S", 0.05)
         asked = []
 
         class AskedClient(FakeClient):
@@ -92,7 +92,7 @@
             routing = make_routing(AskedClient(), A, rng=random.Random(1))
             routing.instances = lambda count=instances: count
             routing.note_trouble(A, Trouble.SILENT, "r", "dead")
-            watch = RestWatch(routing, rng=random.Random(1))
+            watch = HealthCheckLoop(routing, rng=random.Random(1))
             for _ in range(6):
                 await watch.look()
                 routing.probes.forget("a")
@@ -106,7 +106,7 @@
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
         routing.paces.note("a", 12.0, now_s=clocks.now_s())
-        await RestWatch(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert routing.paces.slow(now_s=clocks.now_s()) == {}
 
     async def test_looks_go_on(self):
@@ -114,7 +114,9 @@
         client = FakeClient()
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
-        watch = asyncio.create_task(RestWatch(routing, rng=random.Random(1)).run())
+        watch = asyncio.create_task(
+            HealthCheckLoop(routing, rng=random.Random(1)).run()
+        )
         for _ in range(2):
             routing.note_trouble(A, Trouble.SILENT, "r", "dead")
             async with asyncio.timeout(5):
--- a/tests/test_server_ends.py
+++ b/tests/test_server_ends.py
@@ -135,21 +135,21 @@
         client = FakeClient()
         client.refusing = {"a"}
         found = ends(client, A)
-        assert await found.has_ended(A._replace(born_ms=1))
+        assert await found.has_ended(A._replace(started_ms=1))
         client.refusing = set()
-        assert not await found.has_ended(A._replace(born_ms=2))
+        assert not await found.has_ended(A._replace(started_ms=2))
 
     async def test_listed_new_start_is_the_end_of_the_one_before(self):
         """It may be back before anybody is refused a connection."""
         client = FakeClient()
-        again = A._replace(born_ms=2)
-        assert await ends(client, again).has_ended(A._replace(born_ms=1))
+        again = A._replace(started_ms=2)
+        assert await ends(client, again).has_ended(A._replace(started_ms=1))
         assert client.looked == []
 
     async def test_planned_new_start_is_no_end(self):
         """It had said before that it leaves."""
         client = FakeClient()
-        found = ends(client, A._replace(born_ms=2))
-        before = A._replace(born_ms=1)
+        found = ends(client, A._replace(started_ms=2))
+        before = A._replace(started_ms=1)
         found.note_planned(before.lifetime)
         assert not await found.has_ended(before)
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -17,16 +17,16 @@
 OVER = math.inf
 
 
-def limit(per_s, sent_s, heard_s, *, born_ms=0, sent_ms=0):
+def limit(per_s, sent_s, heard_s, *, started_ms=0, sent_ms=0):
     """Return a word."""
-    return Limit(per_s, born_ms, sent_ms, sent_s, heard_s)
+    return Limit(per_s, started_ms, sent_ms, sent_s, heard_s)
 
 
 def taken(*words):
     """Return which figure counts after some words; None if there is no limit."""
     limits = ServerLimits()
     for word in words:
-        limits.take("s1", word)
+        limits.update("s1", word)
     known = limits.get("s1")
     return known.per_s if known else None
 
@@ -63,12 +63,12 @@
     def test_news(self):
         """Only what changes what all keep to is news."""
         limits = ServerLimits()
-        assert not limits.take("s1", limit(OVER, 0, 1))
-        assert limits.take("s1", limit(5, 2, 3))
-        assert not limits.take("s1", limit(5, 4, 5))
-        assert limits.take("s1", limit(6, 6, 7))
-        assert limits.take("s1", limit(OVER, 8, 9))
-        assert not limits.take("s1", limit(OVER, 10, 11))
+        assert not limits.update("s1", limit(OVER, 0, 1))
+        assert limits.update("s1", limit(5, 2, 3))
+        assert not limits.update("s1", limit(5, 4, 5))
+        assert limits.update("s1", limit(6, 6, 7))
+        assert limits.update("s1", limit(OVER, 8, 9))
+        assert not limits.update("s1", limit(OVER, 10, 11))
 
     @given(st.permutations(range(8)))
     def test_any_order_of_coming(self, order):
@@ -76,30 +76,30 @@
         words = [limit(10 - n % 3, 2 * n, 2 * n + 1) for n in range(8)]
         limits = ServerLimits()
         for number in order:
-            limits.take("s1", words[number])
+            limits.update("s1", words[number])
         assert limits.latest("s1") == words[-1]
 
 
 class TestStarts:
     def test_new_start_is_free(self):
         limits = ServerLimits()
-        limits.take("s1", limit(5, 0, 1, born_ms=100, sent_ms=150))
-        assert limits.get("s1", born_ms=100).per_s == 5
-        assert limits.get("s1", born_ms=200) is None
+        limits.update("s1", limit(5, 0, 1, started_ms=100, sent_ms=150))
+        assert limits.get("s1", started_ms=100).per_s == 5
+        assert limits.get("s1", started_ms=200) is None
 
     def test_new_starts_word_before_the_list_tells(self):
         """What was asked for after its birth is the new start's word."""
         limits = ServerLimits()
-        limits.take("s1", limit(5, 0, 1, born_ms=100, sent_ms=250))
-        assert limits.get("s1", born_ms=200).per_s == 5
+        limits.update("s1", limit(5, 0, 1, started_ms=100, sent_ms=250))
+        assert limits.get("s1", started_ms=200).per_s == 5
 
     def test_late_word_of_the_start_before(self):
         limits = ServerLimits()
-        word = limit(5, 0, 1, born_ms=100, sent_ms=150)
-        assert not limits.take("s1", word, known_ms=200)
-        limits.take("s1", limit(7, 2, 3, born_ms=200, sent_ms=250), known_ms=200)
-        assert not limits.take("s1", limit(5, 4, 5, born_ms=100), known_ms=0)
-        assert limits.get("s1", born_ms=200).per_s == 7
+        word = limit(5, 0, 1, started_ms=100, sent_ms=150)
+        assert not limits.update("s1", word, known_ms=200)
+        limits.update("s1", limit(7, 2, 3, started_ms=200, sent_ms=250), known_ms=200)
+        assert not limits.update("s1", limit(5, 4, 5, started_ms=100), known_ms=0)
+        assert limits.get("s1", started_ms=200).per_s == 7
 
 
 class TestBounds:
@@ -108,14 +108,14 @@
         monkeypatch.setattr(server_limits, "MOST_LIMITS", 3)
         limits = ServerLimits()
         for number in range(5):
-            limits.take(f"s{number}", limit(5, number, number + 0.5))
+            limits.update(f"s{number}", limit(5, number, number + 0.5))
         assert sorted(limits.known()) == ["s2", "s3", "s4"]
 
     def test_ends_are_forgotten(self):
         limits = ServerLimits()
-        limits.take("s1", limit(5, 0, 1))
-        limits.take("s1", limit(OVER, 2, 3))
-        limits.take("s2", limit(5, 20, 21))
+        limits.update("s1", limit(5, 0, 1))
+        limits.update("s1", limit(OVER, 2, 3))
+        limits.update("s2", limit(5, 20, 21))
         assert len(limits) == 1
 
 
--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -8,25 +8,25 @@
 import pytest
 import simpy
 
-from violethatch.server_words import (
+from violethatch.server_backoffs import (
     MOST_RESTS,
     MOST_SPREAD_S,
     SPREAD_PART,
     TRIAL_S,
-    ServerWords,
+    ServerBackoffs,
 )
 
 
-def asked(length_s=3.0, *, born_ms=0):
+def asked(length_s=3.0, *, started_ms=0):
     """Return an instance that a server has asked for rest."""
-    words = ServerWords(random.Random(1))
-    words.ask_rest("s1", length_s, born_ms=born_ms, request_id="c1", now_s=0.0)
+    words = ServerBackoffs(random.Random(1))
+    words.record("s1", length_s, started_ms=started_ms, request_id="c1", now_s=0.0)
     return words
 
 
-def binds(words, now_s, *, server="s1", born_ms=0):
+def binds(words, now_s, *, server="s1", started_ms=0):
     """Tell whether nothing may be sent to a server."""
-    return words.rest(server, born_ms=born_ms, now_s=now_s) is not None
+    return words.active(server, started_ms=started_ms, now_s=now_s) is not None
 
 
 def is_avoided(words, now_s):
@@ -51,16 +51,16 @@
     def test_longer_one_lasts(self):
         """A shorter rest that is asked for meanwhile shortens nothing."""
         words = asked(3.0)
-        assert not words.ask_rest("s1", 1.0, request_id="c2", now_s=1.0)
+        assert not words.record("s1", 1.0, request_id="c2", now_s=1.0)
         assert binds(words, 2.9)
-        assert words.ask_rest("s1", 5.0, request_id="c3", now_s=1.0)
+        assert words.record("s1", 5.0, request_id="c3", now_s=1.0)
         assert binds(words, 5.9)
-        assert words.rest("s1", now_s=2.0).request_id == "c3"
+        assert words.active("s1", now_s=2.0).request_id == "c3"
 
     def test_success_under_way_ends_nothing(self):
         """What was sent before may well be answered."""
         words = asked(3.0)
-        words.answered("s1", now_s=1.0)
+        words.record_response("s1", now_s=1.0)
         assert binds(words, 2.9)
 
     def test_other_servers_are_free(self):
@@ -71,48 +71,48 @@
 class TestStarts:
     def test_new_start_is_free(self):
         """What an earlier process wanted says nothing of the next one."""
-        words = asked(3.0, born_ms=5)
-        assert binds(words, 1.0, born_ms=5)
-        assert not binds(words, 1.0, born_ms=9)
+        words = asked(3.0, started_ms=5)
+        assert binds(words, 1.0, started_ms=5)
+        assert not binds(words, 1.0, started_ms=9)
 
     def test_late_word_of_an_earlier_start(self):
         """It neither replaces the new start's rest nor binds."""
-        words = asked(3.0, born_ms=9)
-        assert not words.ask_rest("s1", 60.0, born_ms=5, now_s=1.0)
-        assert not binds(words, 3.5, born_ms=9)
+        words = asked(3.0, started_ms=9)
+        assert not words.record("s1", 60.0, started_ms=5, now_s=1.0)
+        assert not binds(words, 3.5, started_ms=9)
 
     def test_new_start_answers_before_the_list_tells_of_it(self):
         """What was asked after its birth is its word, whatever was listed then."""
-        words = ServerWords(random.Random(1))
-        words.ask_rest("s1", 3.0, born_ms=5, sent_ms=12, now_s=0.0)
-        assert binds(words, 1.0, born_ms=5)
-        assert binds(words, 1.0, born_ms=9)
-        assert not binds(words, 1.0, born_ms=20)
+        words = ServerBackoffs(random.Random(1))
+        words.record("s1", 3.0, started_ms=5, sent_ms=12, now_s=0.0)
+        assert binds(words, 1.0, started_ms=5)
+        assert binds(words, 1.0, started_ms=9)
+        assert not binds(words, 1.0, started_ms=20)
 
     def test_shorter_word_of_a_start_that_is_not_listed_yet(self):
         """It stands behind a longer one of the start before."""
-        words = ServerWords(random.Random(1))
-        words.ask_rest("s1", 3.0, born_ms=5, sent_ms=7, now_s=0.0)
-        assert not words.ask_rest("s1", 1.0, born_ms=5, sent_ms=12, now_s=0.5)
-        assert binds(words, 1.4, born_ms=9)
+        words = ServerBackoffs(random.Random(1))
+        words.record("s1", 3.0, started_ms=5, sent_ms=7, now_s=0.0)
+        assert not words.record("s1", 1.0, started_ms=5, sent_ms=12, now_s=0.5)
+        assert binds(words, 1.4, started_ms=9)
 
     def test_longer_word_of_the_start_before_that_comes_late(self):
         """It takes nothing from the start that is not listed yet."""
-        words = ServerWords(random.Random(1))
-        words.ask_rest("s1", 1.0, born_ms=5, sent_ms=12, now_s=0.0)
-        assert words.ask_rest("s1", 3.0, born_ms=5, sent_ms=7, now_s=0.1)
-        assert binds(words, 0.9, born_ms=9)
+        words = ServerBackoffs(random.Random(1))
+        words.record("s1", 1.0, started_ms=5, sent_ms=12, now_s=0.0)
+        assert words.record("s1", 3.0, started_ms=5, sent_ms=7, now_s=0.1)
+        assert binds(words, 0.9, started_ms=9)
 
     def test_word_that_is_read_after_the_list_has_told(self):
         """It is the new start's if it was asked for after its birth."""
-        words = asked(1.0, born_ms=9)
-        assert words.ask_rest("s1", 3.0, born_ms=5, sent_ms=12, now_s=0.5)
-        assert binds(words, 3.4, born_ms=9)
+        words = asked(1.0, started_ms=9)
+        assert words.record("s1", 3.0, started_ms=5, sent_ms=12, now_s=0.5)
+        assert binds(words, 3.4, started_ms=9)
 
     def test_starts_that_are_not_told_apart(self):
         """Where a start is not told the rest stands: it is the same id."""
         words = asked(3.0)
-        assert binds(words, 1.0, born_ms=9)
+        assert binds(words, 1.0, started_ms=9)
 
 
 class TestReturn:
@@ -121,25 +121,25 @@
         words = asked(3.0)
         back_s = 3.0 + 3.0 * SPREAD_PART
         assert not is_avoided(words, back_s)
-        words.sent("s1", now_s=back_s)
+        words.record_send("s1", now_s=back_s)
         assert is_avoided(words, back_s + 0.1)
-        words.answered("s1", now_s=back_s + 0.2)
+        words.record_response("s1", now_s=back_s + 0.2)
         assert not words.known()
 
     def test_first_request_that_is_lost(self):
         """It is waited for only so long; then the next one goes."""
         words = asked(3.0)
-        words.sent("s1", now_s=4.0)
+        words.record_send("s1", now_s=4.0)
         assert is_avoided(words, 4.0 + TRIAL_S - 0.01)
         assert not is_avoided(words, 4.0 + TRIAL_S)
-        words.sent("s1", now_s=6.0)
+        words.record_send("s1", now_s=6.0)
         assert is_avoided(words, 6.5)
 
     def test_first_request_that_is_refused(self):
         """The next rest begins."""
         words = asked(3.0)
-        words.sent("s1", now_s=4.0)
-        words.ask_rest("s1", 3.0, request_id="c2", now_s=4.01)
+        words.record_send("s1", now_s=4.0)
+        words.record("s1", 3.0, request_id="c2", now_s=4.01)
         assert binds(words, 7.0)
 
     def test_spread_is_bounded(self):
@@ -149,9 +149,9 @@
 
 def test_bound_on_what_is_kept():
     """Many servers' rests take bounded room; the soonest to end go first."""
-    words = ServerWords(random.Random(1))
+    words = ServerBackoffs(random.Random(1))
     for n in range(MOST_RESTS + 50):
-        words.ask_rest(f"s{n}", 10.0 + n, now_s=0.0)
+        words.record(f"s{n}", 10.0 + n, now_s=0.0)
     assert len(words) == MOST_RESTS
     assert "s0" not in words.known()
     assert f"s{MOST_RESTS + 49}" in words.known()
@@ -160,7 +160,7 @@
 def test_rests_that_nobody_tries_are_forgotten():
     """A server that was asked once and is gone costs no room for good."""
     words = asked(3.0)
-    words.ask_rest("s2", 3.0, now_s=100.0)
+    words.record("s2", 3.0, now_s=100.0)
     assert set(words.known()) == {"s2"}
 
 
@@ -199,20 +199,20 @@
         rest = words.known().get("s1")
         if rest is not None and rest.is_avoided(now_s=env.now):
             continue
-        words.sent("s1", now_s=env.now)
+        words.record_send("s1", now_s=env.now)
         env.process(_request(env, server, words))
 
 
 def _request(env, server, words):
     """Let a request go there and back."""
     yield env.timeout(0.002)
-    server.in_rest += words.rest("s1", now_s=env.now) is not None
+    server.in_rest += words.active("s1", now_s=env.now) is not None
     is_run = server.take()
     yield env.timeout(0.002)
     if not is_run:
-        words.ask_rest("s1", 3.0, request_id="", now_s=env.now)
+        words.record("s1", 3.0, request_id="", now_s=env.now)
         return
-    words.answered("s1", now_s=env.now)
+    words.record_response("s1", now_s=env.now)
     yield env.timeout(0.5)
     server.running -= 1
 
@@ -231,7 +231,7 @@
     every_s = 0.2
     server = _Resting(env, away_s=7.0, room=int(instances / every_s))
     for _ in range(instances):
-        words = ServerWords(random.Random(rng.random()))
+        words = ServerBackoffs(random.Random(rng.random()))
         env.process(_instance(env, server, words, every_s=every_s, rng=rng))
     env.run(until=14.0)
     first = [at_s for at_s in server.refused_s if at_s < 2.0]
--- a/tests/test_sightings.py
+++ b/tests/test_sightings.py
@@ -144,9 +144,9 @@
     async def test_word_of_an_earlier_start_comes_late(self):
         """What another instance had met is over, and the new start is used."""
         links, (_, other) = await self.pair()
-        links[1].born_ms = {"a": 200}.get
-        links[0].tell(Sighting("a", Trouble.NAMED, 5.0, born_ms=100))
-        links[0].tell(Sighting("b", Trouble.NAMED, 5.0, born_ms=100))
+        links[1].started_ms = {"a": 200}.get
+        links[0].tell(Sighting("a", Trouble.NAMED, 5.0, started_ms=100))
+        links[0].tell(Sighting("b", Trouble.NAMED, 5.0, started_ms=100))
         async with asyncio.timeout(5):
             while not other.resting(now_s=clocks.now_s()):
                 await asyncio.sleep(0.01)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -178,8 +178,8 @@
     def test_drained_server_starts_again_after_a_restore(self):
         """A new start of its id is another server."""
         table = BackendTable()
-        table.change([plain_server("a", born_ms=5, is_leaving=True)], [], now_s=0.0)
-        table.replace([plain_server("a", born_ms=9)], is_restored=True, now_s=1.0)
+        table.change([plain_server("a", started_ms=5, is_leaving=True)], [], now_s=0.0)
+        table.replace([plain_server("a", started_ms=9)], is_restored=True, now_s=1.0)
         assert usable(table) == ["a"]
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -728,7 +728,7 @@
         responder = FakeResponder()
         serving = asyncio.create_task(stream.serve(responder))
         await asyncio.sleep(0.02)
-        again = TAIL._replace(born_ms=7, layers=None)
+        again = TAIL._replace(started_ms=7, layers=None)
         started_s = clocks.now_s()
         routing.take_restarted([TAIL])
         routing.backends.change([again], [], now_s=started_s)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -44,12 +44,12 @@
     Refusal,
     Send,
     Sending,
-    ServerWord,
+    ServerSignals,
 )
 
 
-REST = ServerWord(status=503, rest_s=30.0, is_binding=True)
-LEAVES = ServerWord(status=200, is_leaving=True)
+REST = ServerSignals(status=503, backoff_s=30.0, is_binding=True)
+LEAVES = ServerSignals(status=200, is_leaving=True)
 WAYS = ["call", "report", "move", "order"]
 
 
@@ -104,7 +104,7 @@
         """Nothing is written, and the caller of it learns that."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
             one = servers[0].listed
-            made[0].router.routing.gate.heard(one, REST, "c0")
+            made[0].router.routing.flow_control.record_signals(one, REST, "c0")
             assert await try_way(made[0].client, one, how)
             assert servers[0].arrived == []
 
@@ -128,7 +128,7 @@
         """New work ends at once, moves with the bound; questions are no work."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
             one = servers[0].listed
-            made[0].router.routing.gate.heard(one, LEAVES, "c0")
+            made[0].router.routing.flow_control.record_signals(one, LEAVES, "c0")
             assert await try_way(made[0].client, one, how) is at_once
             await asyncio.sleep(LEAVING_S)
             assert await try_way(made[0].client, one, how) is later
@@ -160,19 +160,19 @@
     async def test_rests_of_a_new_start(self):
         """A server that has started again is free; who is listed decides."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed._replace(born_ms=5)
+            one = servers[0].listed._replace(started_ms=5)
             made[0].list({one.id: one})
-            made[0].router.routing.gate.heard(one, REST, "c0")
+            made[0].router.routing.flow_control.record_signals(one, REST, "c0")
             assert await try_way(made[0].client, one, "call")
-            made[0].list({one.id: one._replace(born_ms=9)})
+            made[0].list({one.id: one._replace(started_ms=9)})
             assert not await try_way(made[0].client, one, "call")
 
     async def test_entry_that_goes_and_comes_back(self):
         """A rest and a departure stand, whatever the list does meanwhile."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
             one, two = servers[0].listed, servers[1].listed
-            made[0].router.routing.gate.heard(one, REST, "c0")
-            made[0].router.routing.gate.heard(two, LEAVES, "c0")
+            made[0].router.routing.flow_control.record_signals(one, REST, "c0")
+            made[0].router.routing.flow_control.record_signals(two, LEAVES, "c0")
             made[0].list({one.id: None, two.id: None})
             made[0].list({one.id: one, two.id: two})
             assert await try_way(made[0].client, one, "call")
@@ -196,7 +196,7 @@
         if error is not None:
             raise error
 
-    def heard(self, _server, _word, _request_id):
+    def record_signals(self, _server, _word, _request_id):
         pass
 
 
@@ -205,10 +205,10 @@
     async def test_all_rest(self, path, lines):
         """The answer comes at once: not run, and when the first rest ends."""
         async with servers_and_machines(first_choice(path)) as (servers, made):
-            gate = made[0].router.routing.gate
+            gate = made[0].router.routing.flow_control
             for number, server in enumerate(servers):
-                word = REST._replace(rest_s=20.0 - number)
-                gate.heard(server.listed, word, f"c{number}")
+                word = REST._replace(backoff_s=20.0 - number)
+                gate.record_signals(server.listed, word, f"c{number}")
             async with watched_lag() as lag:
                 started_s = clocks.now_s()
                 error = await made[0].ask(path=path)
@@ -229,7 +229,9 @@
         """Nobody is turned away, and no retry spent, while one has room."""
         async with servers_and_machines(first_choice(path)) as (servers, made):
             for server in servers[:-1]:
-                made[0].router.routing.gate.heard(server.listed, REST, "c0")
+                made[0].router.routing.flow_control.record_signals(
+                    server.listed, REST, "c0"
+                )
             got = await made[0].keep_asking(every_s=0.01, for_s=0.3, path=path)
             assert all(one.end == "whole" for one in got)
             assert all(server.arrived == [] for server in servers[:-1])
@@ -238,7 +240,7 @@
         """A server that was slow is used rather than one that asked for rest."""
         async with servers_and_machines(first_choice("/label/1")) as (servers, made):
             routing = made[0].router.routing
-            routing.gate.heard(servers[0].listed, REST, "c0")
+            routing.flow_control.record_signals(servers[0].listed, REST, "c0")
             routing.health.note("s2", Trouble.SILENT, now_s=clocks.now_s())
             assert (await made[0].ask(path="/label/1")).end == "whole"
             assert servers[0].arrived == []
@@ -254,13 +256,13 @@
 
     async def test_wish_gives_way(self):
         """A server that limits what it gets is used where there is no other."""
-        wish = ServerWord(status=429, rest_s=1.0)
+        wish = ServerSignals(status=429, backoff_s=1.0)
         async with servers_and_machines(first_choice("/label/1")) as (servers, made):
             routing = made[0].router.routing
-            routing.gate.heard(servers[0].listed, wish, "c0")
+            routing.flow_control.record_signals(servers[0].listed, wish, "c0")
             await made[0].ask(path="/label/1")
             assert [len(server.arrived) for server in servers] == [0, 1]
-            routing.gate.heard(servers[1].listed, REST, "c0")
+            routing.flow_control.record_signals(servers[1].listed, REST, "c0")
             await made[0].ask(path="/label/1")
             assert [len(server.arrived) for server in servers] == [1, 1]
 
@@ -297,10 +299,13 @@
         head, tail = runner("head", 0, 40), runner("tail", 40, 80)
         all_ = runner("all", 0, 80, kind="small")
         routing = make_routing(FakeClient(), head, tail, all_, rng=random.Random(1))
-        routing.gate.heard(head, REST, "c0")
+        routing.flow_control.record_signals(head, REST, "c0")
         refusal = Refusal(tail.address, False, REST)
         routing.note_refusal("tail", refusal, "c0", is_told_by_other=True)
-        assert set(routing.gate.bound(now_s=clocks.now_s())) == {"head", "tail"}
+        assert set(routing.flow_control.blocked_s(now_s=clocks.now_s())) == {
+            "head",
+            "tail",
+        }
         assert routing.path(admitted().service).server_ids == {"all"}
 
     def test_what_is_under_way_at_a_resting_server_stays(self):
@@ -313,7 +318,7 @@
         )
         service = admitted().service
         kept = routing.path(service, avoided=frozenset({"spare", "other"}))
-        routing.gate.heard(tail, REST, "c0")
+        routing.flow_control.record_signals(tail, REST, "c0")
         moved = routing.path(
             service, avoided=frozenset({"lost"}), first=head, kept=kept
         )
@@ -340,7 +345,7 @@
         responder = FakeResponder()
         stream = StreamCall(routing, make_call(), admitted())
         asyncio.get_running_loop().call_later(
-            0.01, routing.gate.heard, head, REST, "c0"
+            0.01, routing.flow_control.record_signals, head, REST, "c0"
         )
         async with asyncio.timeout(2):
             await stream.serve(responder)
@@ -354,7 +359,7 @@
         routing = make_routing(FakeClient(), a, b, rng=random.Random(1))
         service = admitted().service
         assert routing.path(service).first.id == "a"
-        routing.gate.heard(a, LEAVES, "c0")
+        routing.flow_control.record_signals(a, LEAVES, "c0")
         assert routing.path(service).first.id == "b"
         assert [one.id for one in routing.usable("model")] == ["b"]
 
@@ -365,7 +370,7 @@
 
     async def repath(server, call_id, path):
         try:
-            routing.gate.check_send(server, Sending.MOVE, call_id)
+            routing.flow_control.check_send(server, Sending.MOVE, call_id)
         except KeptBackError:
             return OrderAnswer(OrderOutcome.KEPT_BACK)
         return await move(server, call_id, path)
@@ -379,7 +384,7 @@
         servers = Servers(lambda name: runner(name, 0, 80, kind="large"), count=2)
         fleet = Fleet(3, servers)
         told = servers.by_id["s1"].listed
-        fleet.routers[0].routing.gate.heard(told, LEAVES, "c0")
+        fleet.routers[0].routing.flow_control.record_signals(told, LEAVES, "c0")
         async with asyncio.timeout(5):
             while any(len(one.routing.usable("model")) > 1 for one in fleet.routers):
                 await asyncio.sleep(0.01)
@@ -390,10 +395,15 @@
         """The server speaks to one instance, and may have room for the others."""
         servers = Servers(lambda name: runner(name, 0, 80, kind="large"), count=2)
         fleet = Fleet(3, servers)
-        fleet.routers[0].routing.gate.heard(servers.by_id["s1"].listed, REST, "c0")
+        fleet.routers[0].routing.flow_control.record_signals(
+            servers.by_id["s1"].listed, REST, "c0"
+        )
         await asyncio.sleep(0.1)
         now_s = clocks.now_s()
-        bound = [router.routing.gate.bound(now_s=now_s) for router in fleet.routers]
+        bound = [
+            router.routing.flow_control.blocked_s(now_s=now_s)
+            for router in fleet.routers
+        ]
         assert [set(one) for one in bound] == [{"s1"}, set(), set()]
 
 
@@ -403,7 +413,7 @@
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
         routing.note_refusal("a", Refusal(None, False), "c1")
-        routing.gate.heard(a, REST, "c2")
+        routing.flow_control.record_signals(a, REST, "c2")
         routing.note_refusal("a", Refusal(None, False, REST), "c2")
         first, second = lines_of(lines, log_events.SERVER_REFUSED)
         assert (first["rest_s"], first["rested_s"]) == (0.3, 0.0)
@@ -416,10 +426,12 @@
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
         kept = []
-        routing.gate.on_kept_back = lambda what, why: kept.append((what, why))
-        routing.gate.heard(a, REST, "c1")
+        routing.flow_control.on_send_rejected = lambda what, why: kept.append(
+            (what, why)
+        )
+        routing.flow_control.record_signals(a, REST, "c1")
         with pytest.raises(KeptBackError):
-            routing.gate.check_send(a, Sending.CALL, "c2")
+            routing.flow_control.check_send(a, Sending.CALL, "c2")
         (word,) = lines_of(lines, log_events.SERVER_WORD)
         assert (word["request_id"], word["asks_rest_s"], word["is_longer"]) == (
             "c1",
@@ -435,15 +447,15 @@
         assert kept == [(Sending.CALL, "rest")]
 
 
-LIMITED = ServerWord(status=200, limit_a_s=0.5)
+LIMITED = ServerSignals(status=200, limit_per_s=0.5)
 #: A limit under which a permit is due at once, as far as a test can wait.
-WIDE = ServerWord(status=200, limit_a_s=50.0)
+WIDE = ServerSignals(status=200, limit_per_s=50.0)
 
 
 def hear(machine, server, word, request_id="c0"):
     """Let an instance hear a server's word, just asked for."""
     now_s = clocks.now_s()
-    machine.router.routing.gate.heard(
+    machine.router.routing.flow_control.record_signals(
         server.listed, word._replace(sent_s=now_s), request_id
     )
 
@@ -464,9 +476,9 @@
             servers[0].limit_a_s = "50"
             hear(made[0], servers[0], WIDE)
             await try_way(made[0].client, servers[0].listed, "report")
-            gate = made[0].router.routing.gate
+            gate = made[0].router.routing.flow_control
             await asyncio.sleep(1.0)
-            gate.limits.permits.forget("s1")
+            gate.limits.permits.discard("s1")
             before = len(servers[0].arrived)
             assert not await try_way(made[0].client, servers[0].listed, how)
             arrived = len(servers[0].arrived) - before
@@ -477,7 +489,7 @@
     async def test_permit_lapses_while_a_connection_is_waited_for(self):
         """What was decided long before is not written; no connection is lost."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.gate
+            gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], WIDE)
             lapsed = Permit(clocks.now_s() - 0.01)
             with pytest.raises(KeptBackError):
@@ -504,7 +516,7 @@
     async def test_permit_that_is_not_used_is_kept(self):
         """The next send uses it, while it is good."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.gate
+            gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], LIMITED)
             permit = Permit(clocks.now_s() + 5.0)
             gate.settle(servers[0].listed, permit, was_written=False)
@@ -515,9 +527,9 @@
     async def test_no_permit_is_asked_for_a_server_that_rests(self):
         """It would be spent in vain."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.gate
+            gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], LIMITED)
-            gate.heard(servers[0].listed, REST, "c0")
+            gate.record_signals(servers[0].listed, REST, "c0")
             with pytest.raises(KeptBackError) as caught:
                 await gate.admit(servers[0].listed, Sending.CALL, "c1")
             assert caught.value.reason == "rest"
@@ -550,12 +562,14 @@
             routing = made[0].router.routing
             hear(made[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
-                await routing.gate.admit(
+                await routing.flow_control.admit(
                     servers[0].listed, Sending.CALL, "c1", priority=2
                 )
             now_s = clocks.now_s()
-            assert set(routing.gate.bound(priority=2, now_s=now_s)) == {"s1"}
-            assert routing.gate.bound(priority=1, now_s=now_s) == {}
+            assert set(routing.flow_control.blocked_s(priority=2, now_s=now_s)) == {
+                "s1"
+            }
+            assert routing.flow_control.blocked_s(priority=1, now_s=now_s) == {}
             others = frozenset({"s2", "s3"})
             service = admitted().service
             assert routing.path(service, avoided=others, priority=2) is None
@@ -575,13 +589,13 @@
     async def test_limit_is_over(self):
         """The first answer that names none ends it; its server is left for a while."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.gate
+            gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], LIMITED)
             assert await try_way(made[0].client, servers[0].listed, "call")
             await asyncio.sleep(0.01)
-            hear(made[0], servers[0], ServerWord(status=200, limit_a_s=math.inf))
+            hear(made[0], servers[0], ServerSignals(status=200, limit_per_s=math.inf))
             now_s = clocks.now_s()
-            assert "s1" not in gate.bound(now_s=now_s)
+            assert "s1" not in gate.blocked_s(now_s=now_s)
             assert gate.avoided(now_s=now_s) == {"s1"}
             assert gate.avoided(now_s=now_s + 1.0) == set()
             assert not await try_way(made[0].client, servers[0].listed, "call")
@@ -589,7 +603,7 @@
     async def test_new_start_is_free(self):
         """Its limit goes with a start, as its rests do."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed._replace(born_ms=5)
+            one = servers[0].listed._replace(started_ms=5)
             made[0].list({one.id: one})
             servers[0].listed = one
             hear(made[0], servers[0], LIMITED._replace(sent_ms=6))
@@ -597,14 +611,14 @@
             made[0].list({one.id: None})
             made[0].list({one.id: one})
             assert await try_way(made[0].client, one, "call")
-            made[0].list({one.id: one._replace(born_ms=9)})
+            made[0].list({one.id: one._replace(started_ms=9)})
             assert not await try_way(made[0].client, one, "call")
 
     async def test_beside_a_rest(self):
         """Both words of one answer count."""
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.gate
-            hear(made[0], servers[0], REST._replace(limit_a_s=2.4))
+            gate = made[0].router.routing.flow_control
+            hear(made[0], servers[0], REST._replace(limit_per_s=2.4))
             assert set(gate.rests(now_s=clocks.now_s())) == {"s1"}
             assert gate.limits.limit_of("s1").per_s == 2.4
 
@@ -613,10 +627,12 @@
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
         counted = []
-        routing.gate.on_word = counted.append
+        routing.flow_control.on_signal = counted.append
         for number in range(100):
-            word = ServerWord(status=200, unknown=(f"server-{number}", "server-x"))
-            routing.gate.heard(a, word, "c1")
+            word = ServerSignals(
+                status=200, unknown_headers=(f"server-{number}", "server-x")
+            )
+            routing.flow_control.record_signals(a, word, "c1")
         named = [one["word"] for one in lines_of(lines, log_events.WORD_UNKNOWN)]
         assert len(named) == len(set(named)) == 32
         assert counted == ["unknown"] * 200
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -119,17 +119,17 @@
     def listen(self, machine):
         """Note what a machine hears."""
         gate = machine.client.gate
-        hear = gate.heard
+        hear = gate.record_signals
 
         def heard(server, word, request_id):
             before_s = clocks.now_s()
             hear(server, word, request_id)
-            if word.rest_s and word.is_binding:
-                until_s = before_s + word.rest_s
+            if word.backoff_s and word.is_binding:
+                until_s = before_s + word.backoff_s
                 told = (request_id, server.address, clocks.now_s(), until_s)
                 self.heard.append(told)
 
-        gate.heard = heard
+        gate.record_signals = heard
 
     def broken(self, servers):
         """Return writes within rests of the same start that the instance had heard.
@@ -142,8 +142,8 @@
             for call_id, _, _ in server.arrivals_by_start
         }
         for server in servers:
-            for call_id, at_s, born_ms in server.arrivals_by_start:
-                arrivals[call_id, server.listed.address].append((at_s, born_ms))
+            for call_id, at_s, started_ms in server.arrivals_by_start:
+                arrivals[call_id, server.listed.address].append((at_s, started_ms))
 
         def start_told(call_id, address, heard_s):
             before = [one for one in arrivals[call_id, address] if one[0] <= heard_s]
@@ -178,10 +178,10 @@
     """Return arrivals at a server within rests that it had asked that machine for."""
     return [
         (machine, round(at_s - said_s, 3), figure)
-        for machine, said_s, figure, born_ms in server.words
+        for machine, said_s, figure, started_ms in server.words
         for what, at_s, arrived_ms in server.arrivals_by_start
         if what.startswith(machine)
-        and arrived_ms == born_ms
+        and arrived_ms == started_ms
         and said_s + UNDER_WAY_S + lag_s <= at_s < said_s + LENGTHS_S.get(figure, 0.0)
     ]
 
@@ -190,10 +190,10 @@
     """Return arrivals at a start that had said to a machine that it leaves."""
     return [
         (machine, round(at_s - said_s, 3))
-        for machine, said_s, born_ms in server.departures
+        for machine, said_s, started_ms in server.departures
         for what, at_s, arrived_ms in server.arrivals_by_start
         if what.startswith(machine)
-        and arrived_ms == born_ms
+        and arrived_ms == started_ms
         and at_s >= said_s + LEAVING_S + lag_s
     ]
 
@@ -214,8 +214,8 @@
     """Whatever servers say, in whatever order, it is kept, and callers get answers."""
     rng = random.Random(seed)
     listed = [
-        *(runner(f"s{n}", 0, 80, kind="large", born_ms=1) for n in range(3)),
-        *(plain_server(f"p{n}", born_ms=1) for n in range(2)),
+        *(runner(f"s{n}", 0, 80, kind="large", started_ms=1) for n in range(3)),
+        *(plain_server(f"p{n}", started_ms=1) for n in range(2)),
     ]
     async with (
         servers_and_machines(listed, machines=MACHINES, seed=seed) as (
--- a/tests/test_work_in_hand.py
+++ b/tests/test_work_in_hand.py
@@ -140,7 +140,7 @@
 
     async def test_server_that_is_back_before_it_is_asked(self):
         """Its new start shows that it had ended, a heartbeat later."""
-        before = A._replace(born_ms=1)
+        before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         work = work_in_hand(routing)
         assert not await work.lost(before, has_begun=False)
@@ -150,7 +150,7 @@
 
     async def test_planned_new_start_is_put_down_to_nobody(self):
         """It had said that it leaves when it broke the rest off."""
-        before = A._replace(born_ms=1)
+        before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(before, has_begun=False)
         routing.take_restarted([before._replace(is_leaving=True)])
@@ -158,7 +158,7 @@
 
     async def test_new_start_long_after_is_put_down_to_nobody(self, monkeypatch):
         """The answer that broke off then had another cause."""
-        before = A._replace(born_ms=1)
+        before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(before, has_begun=False)
         now_s = clocks.now_s()
