--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -16,7 +16,7 @@
 
 from collections.abc import Sequence
 
-from ._chains import Chain, KnownSplits, best_chains, speed_order
+from ._chains import Chain, KnownSplits, best_chains, speed_sort_key
 from ._hosts import Host
 from .engine_model import EngineSpec
 
@@ -28,7 +28,7 @@
 #: left when a zone of three goes, and traffic is a fifth above its mean, stays below.
 _USUAL_LOAD_PART = 0.4
 #: The part of a chain's requests a second that it gets before others are as quick: a
-#: fuller path is left for others (`near_paths.ZONE_FULLNESS`).
+#: fuller path is left for others (`local_paths.ZONE_FULLNESS`).
 _FILLED_PART = 0.6
 #: The fewest usual requests that a chain has to have room for at once.  What a smaller
 #: one takes is worth more as copies: one instance's burst fills it, and each runner of
@@ -52,11 +52,13 @@
     if not dealt:
         return []
     options = [dealt]
-    ordered = sorted(hosts, key=lambda one: speed_order(one, engine))
+    ordered = sorted(hosts, key=lambda one: speed_sort_key(one, engine))
     for size in _first_tier_sizes(ordered, engine, known):
         first = best_chains(ordered[:size], engine, known=known)
         behind = best_chains(ordered[size:], engine, known=known)
-        options.append([one for one in (*first, *behind) if one.at_once >= _LEAST_ROOM])
+        options.append(
+            [one for one in (*first, *behind) if one.concurrent_requests >= _LEAST_ROOM]
+        )
     enough = _rate(dealt)
     load = enough * _USUAL_LOAD_PART
     good = [one for one in options if _rate(one) >= enough]
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -283,7 +283,7 @@
 
 LOADING = desired_state()._replace(
     services={
-        name: service._replace(engine=service.engine._replace(loads_at_once=1))
+        name: service._replace(engine=service.engine._replace(max_concurrent_loads=1))
         if service.engine
         else service
         for name, service in desired_state().services.items()
