--- a/src/violethatch/retry_after.py
+++ b/src/violethatch/retry_after.py
@@ -20,7 +20,7 @@
 #: The longest time that is kept, in seconds.  A server that wants more is one to look
 #: after by hand: a day covers what is planned, and a figure beyond it (a time of day,
 #: microseconds) is a mistake that would leave a sound server alone for good.
-LONGEST_S = 86_400.0
+MAX_RETRY_AFTER_S = 86_400.0
 #: The longest figure that is read, in characters: a date has 29.
 _MOST_CHARACTERS = 64
 _NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
@@ -30,19 +30,19 @@
     """What a server's figures come to.
 
     Attributes:
-        length_s: For how long it wants nothing, in seconds; None if it doesn't tell.
-        unread: A figure that can't be understood, shortened; empty if there is none.
-        is_cut: Whether it asked for more than is kept.
+        delay_s: For how long it wants nothing, in seconds; None if it doesn't tell.
+        invalid: A figure that can't be understood, shortened; empty if there is none.
+        exceeds_max: Whether it asked for more than is kept.
 
     .. versionadded:: 26.5.0
     """
 
-    length_s: float | None = None
-    unread: str = ""
-    is_cut: bool = False
+    delay_s: float | None = None
+    invalid: str = ""
+    exceeds_max: bool = False
 
 
-def read_retry_after(
+def parse_retry_after(
     values: Iterable[str], *, server_time: str | None, wall_s: float
 ) -> RetryAfter:
     """Read an answer's figures; of several the longest counts.
@@ -67,7 +67,9 @@
     if not lengths_s:
         return RetryAfter(None, unread)
     longest_s = max(lengths_s)
-    return RetryAfter(min(LONGEST_S, longest_s), unread, longest_s > LONGEST_S)
+    return RetryAfter(
+        min(MAX_RETRY_AFTER_S, longest_s), unread, longest_s > MAX_RETRY_AFTER_S
+    )
 
 
 def _parts(value: str) -> list[str]:
