--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -209,7 +209,7 @@
         bench.overload()
         for _ in range(20):
             try:
-                await bench.admission.admit("model", request(LEAST, wait_s=3.0))
+                await bench.admission.admit("model", request(LEAST, timeout_s=3.0))
             except NotAdmittedError as error:
                 assert error.ran == "no"
                 assert error.retry_after_s == pytest.approx(1.0, abs=0.05)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -48,7 +48,7 @@
     def test_known_loads_are_shown(self):
         """Operators see how many instances' loads are known, and how old that is."""
         made = router(proof_age_s=0.0)
-        made.show_state()
+        made.update_metrics()
         gauge = made.metrics.instances_summed
         assert gauge.get({}) == 1
         assert made.metrics.load_age_s.get({}) == -1.0
@@ -99,7 +99,7 @@
         admission.section = AdmissionSection(mode=AdmissionMode.ON)
         admission.take_desired(made.desired)
         admission.returns = Reserved()
-        made.show_state()
+        made.update_metrics()
         gauge = made.metrics.admission_reserved
         [service] = made.state()["admission"]
         assert gauge.get({"service": service}) == 2
@@ -167,20 +167,20 @@
         """A store that is back, or has lost its history, has the whole table read."""
         decoder = CountingDecoder()
         made = empty_router(decoder)
-        made.take_desired(view_of(config(3)), True)
+        made.apply_desired_state(view_of(config(3)), True)
         in_force = made.desired
-        made.take_desired(view_of(config(3)), True)
+        made.apply_desired_state(view_of(config(3)), True)
         assert made.desired is in_force
         assert decoder.reads == 1
 
     def test_state_in_force_is_proven_again_after_one_that_is_refused(self):
         """Guards against doubt that lasts once the row is as it was."""
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(3)), True)
-        made.take_desired(view_of(b"{"), False)
+        made.apply_desired_state(view_of(config(3)), True)
+        made.apply_desired_state(view_of(b"{"), False)
         made.freshness.proven(clocks.now_s())
         assert not made.freshness.is_fresh(now_s=clocks.now_s())
-        made.take_desired(view_of(config(3)), False)
+        made.apply_desired_state(view_of(config(3)), False)
         made.freshness.proven(clocks.now_s())
         assert made.freshness.is_fresh(now_s=clocks.now_s())
 
@@ -188,10 +188,10 @@
         """Others run meanwhile, and see the older state whole."""
         monkeypatch.setattr(slices, "SLICE_S", 0.0)
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(1)), True)
+        made.apply_desired_state(view_of(config(1)), True)
         older = made.desired
         view = view_of(config(2, routes=1_000))
-        taking = asyncio.create_task(made.take_desired_in_slices(view, False))
+        taking = asyncio.create_task(made.apply_desired_state_in_slices(view, False))
         seen = []
         while not taking.done():
             seen.append(made.desired)
@@ -204,20 +204,22 @@
     async def test_route_that_cannot_be_read_late_in_a_state(self):
         """Guards against a state of which the first part is in force."""
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(1)), True)
+        made.apply_desired_state(view_of(config(1)), True)
         older = made.desired
         state = json.loads(config(2, routes=500))
         state["Routes"][-1]["TimeoutMs"] = "soon"
         value = json.dumps(state).encode()
-        await made.take_desired_in_slices(view_of(value), False)
+        await made.apply_desired_state_in_slices(view_of(value), False)
         assert made.desired is older
         assert made.metrics.rows_refused.get({"table": "desired state"}) == 1
 
     async def test_older_state_replaces_a_newer_one(self):
         """A removed key stays removed, whatever is read later."""
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(2)), True)
-        await made.take_desired_in_slices(view_of(config(1, keys=("old",))), True)
+        made.apply_desired_state(view_of(config(2)), True)
+        await made.apply_desired_state_in_slices(
+            view_of(config(1, keys=("old",))), True
+        )
         assert made.desired.version == 2
         assert set(made.desired.workspaces_by_key) == {"key-1"}
 
@@ -229,7 +231,7 @@
         )
         monkeypatch.setattr(slices, "SLICE_S", 0.0)
         made = empty_router(WireDecoder())
-        await made.take_desired_in_slices(view_of(config(1, routes=320)), True)
+        await made.apply_desired_state_in_slices(view_of(config(1, routes=320)), True)
         (line,) = [one for one in logged if one["number"] == 2401]
         # The row, its routes by 32, the end, and admission.
         assert line["slices"] == 13
@@ -257,5 +259,5 @@
         )
         made = empty_router(WireDecoder())
         made.desired = desired_state()._replace(version=1, routes=Freed())
-        await made.take_desired_in_slices(view_of(config(2)), True)
+        await made.apply_desired_state_in_slices(view_of(config(2)), True)
         assert seen == ["turn", "freed"]
