--- a/spec/rests.pml
+++ b/spec/rests.pml
@@ -34,7 +34,7 @@
 byte born = NONE;
 byte listed = 0;
 
-/* server_backoffs.Rest: which start was listed, when it was asked, until when it binds. */
+/* server_backoffs.Backoff: which start was listed, when it was asked, until when it binds. */
 byte rest_start = NONE;
 byte rest_sent = 0;
 byte rest_until = 0;
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -45,15 +45,15 @@
 FIGURES = {
     "A": {
         "step_ms": 1.02,
-        "read_tokens_per_s": 196_000.0,
-        "pipe_mbps": 6_640.0,
-        "stride_tokens": 5.0,
+        "prefill_tokens_per_s": 196_000.0,
+        "zone_link_mbps": 6_640.0,
+        "tokens_per_step": 5.0,
     },
     "B": {
         "step_ms": 0.85,
-        "read_tokens_per_s": 321_000.0,
-        "pipe_mbps": 3_400.0,
-        "stride_tokens": 2.0,
+        "prefill_tokens_per_s": 321_000.0,
+        "zone_link_mbps": 3_400.0,
+        "tokens_per_step": 2.0,
     },
 }
 #: The fewest and the most streams laid at once; a chain takes 80 to 100.
@@ -67,7 +67,7 @@
     spec = engine(
         per_sequence_ms=0.00764,
         context_per_k_ms=0.01024,
-        pairs_per_m_ms=0.166,
+        attention_ms_per_m_pairs=0.166,
         kv_token_bytes=984_000.0,
         activation_bytes=49_200.0,
         usual_prompt_tokens=775.0,
@@ -203,13 +203,13 @@
                 wait = 1 + min(pipe, 0.95) / (1 - min(pipe, 0.95)) / 2
                 crossing_ms = path.zone_hops * spec.zone_transfer_ms * wait
                 read_ms += chunks * token_ms[path] + crossing_ms
-                first_ms[path] = read_ms + spec.stride_tokens * token_ms[path]
+                first_ms[path] = read_ms + spec.tokens_per_step * token_ms[path]
                 stream_ms[path] = read_ms + spec.usual_answer_tokens * token_ms[path]
         good = {
             path: streams
             for path, streams in self.laid.items()
             if first_ms[path] <= self.targets.first_event_s * 1000
-            and spec.stride_tokens * token_ms[path]
+            and spec.tokens_per_step * token_ms[path]
             <= (self.targets.gap_s or math.inf) * 1000
         }
         starts = sum(1000 * n / stream_ms[path] for path, n in good.items())
@@ -400,7 +400,7 @@
     def test_gap_holds_a_stride_of_tokens(self):
         """With a stride of 5, a gap is five token times."""
         gap_s = 0.25
-        strided = CROWDED._replace(stride_tokens=5.0)
+        strided = CROWDED._replace(tokens_per_step=5.0)
         one = found(chain("a"), strided, targets=Targets(0.0, 5 * gap_s))
         assert one == found(chain("a"), CROWDED, targets=Targets(0.0, gap_s))
         less = found(chain("a"), strided, targets=Targets(0.0, gap_s / 5))
@@ -408,7 +408,7 @@
 
     def test_first_event_leaves_out_readers(self):
         """Reading that delays first events beyond their target bounds the starts."""
-        reading = WIDE._replace(read_tokens_per_s=10_000.0)
+        reading = WIDE._replace(prefill_tokens_per_s=10_000.0)
         whole = found(chain("a"), reading, targets=Targets(0.0, 0.0))
         part = found(chain("a"), reading, targets=Targets(0.4, 0.0))
         assert 0 < part.starts_per_s < whole.starts_per_s
@@ -417,19 +417,19 @@
     def test_pipe_bounds_crossing_streams(self):
         """Where zones complete each other, the pipe between them is the bound."""
         servers = [chain("a")[0], chain("b", zone="z2")[1]]
-        free = found(servers, WIDE._replace(pipe_mbps=0.0))
+        free = found(servers, WIDE._replace(zone_link_mbps=0.0))
         assert free.streams == pytest.approx(found(chain("a"), WIDE).streams)
-        narrow = WIDE._replace(pipe_mbps=5_000.0)
+        narrow = WIDE._replace(zone_link_mbps=5_000.0)
         crossing = found(servers, narrow)
         assert 0 < crossing.starts_per_s < 1000 / narrow.zone_transfer_ms
         assert crossing.streams < free.streams
-        assert found(servers, WIDE._replace(pipe_mbps=500.0)) == NO_ROOM
+        assert found(servers, WIDE._replace(zone_link_mbps=500.0)) == NO_ROOM
 
     def test_pipe_does_not_bound_whole_zones(self):
         """Streams that stay in a zone don't use the pipe."""
         servers = [*chain("a"), *chain("b", zone="z2")]
-        assert found(servers, WIDE._replace(pipe_mbps=1.0)) == found(
-            servers, WIDE._replace(pipe_mbps=0.0)
+        assert found(servers, WIDE._replace(zone_link_mbps=1.0)) == found(
+            servers, WIDE._replace(zone_link_mbps=0.0)
         )
 
     @settings(max_examples=60, deadline=None)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -714,7 +714,7 @@
         """A path over a full pipe would make all requests late."""
         far = TAIL._replace(availability_zone="z2")
         client = FakeClient()
-        slow = routing_engine(pipe_mbps=10.0)
+        slow = routing_engine(zone_link_mbps=10.0)
         service = admitted().service._replace(engine=slow)
         routing = make_routing(client, HEAD, far, rng=random.Random(1))
         allowed = admitted()._replace(service=service)
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -29,7 +29,7 @@
     step_ms=0.85,
     per_sequence_ms=0.00424,
     context_per_k_ms=0.0057,
-    read_tokens_per_s=353_000.0,
+    prefill_tokens_per_s=353_000.0,
     usual_prompt_tokens=761.0,
     usual_answer_tokens=138.0,
 )
