--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -331,7 +331,7 @@
         routing = make_routing(FakeClient(), head, tail, all_, rng=random.Random(1))
         routing.flow_control.record_signals(head, REST, "c0")
         refusal = Refusal(tail.address, False, REST)
-        routing.record_refusal("tail", refusal, "c0", is_told_by_other=True)
+        routing.record_refusal("tail", refusal, "c0", is_reported_by_peer=True)
         assert set(routing.flow_control.blocked_s(now_s=clocks.now_s())) == {
             "head",
             "tail",
@@ -350,7 +350,7 @@
         kept = routing.path(service, avoided=frozenset({"spare", "other"}))
         routing.flow_control.record_signals(tail, REST, "c0")
         moved = routing.path(
-            service, avoided=frozenset({"lost"}), first=head, kept=kept
+            service, avoided=frozenset({"lost"}), first=head, current_path=kept
         )
         assert moved.server_ids == {"head", "spare", "tail"}
 
