--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -192,7 +192,7 @@
         room = 96
         made = routings(60, *self.QUICK, *self.SLOW)
         for one in made:
-            one.instances = lambda: 180
+            one.instance_count = lambda: 180
         quick = sum(one.path(SERVICE).first.id == "q0" for one in made)
         assert 0 < quick * 2 <= 0.6 * room * 180 / 60
 
