--- a/src/violethatch/_open_answers.py
+++ b/src/violethatch/_open_answers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The answers that are under way, and their end when the process has to leave."""
+"""Tracks the responses in flight, and aborts them when the process shuts down."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 
 
 class OpenAnswers:
-    """Ends all answers that are under way at one time.
+    """Aborts all responses in flight at once.
 
-    Each handler's work runs within `open`, so that an end made by this instance is told
-    from a caller's, who cancels the handler.
+    Handlers run within `track`, so that an abort by this instance can be told apart
+    from a caller's disconnect, which cancels the handler.
     """
 
     def __init__(self) -> None:
-        self._ends: set[asyncio.Timeout] = set()
-        #: Whether all have been ended.
+        self._timeouts: set[asyncio.Timeout] = set()
+        #: Whether the responses have been aborted.
         self.is_aborted = False
 
     @contextlib.asynccontextmanager
     async def track(self) -> AsyncIterator[None]:
-        """Count an answer as under way.
+        """Track a response as in flight.
 
         Raises:
-            AnswerCutError: This instance has ended it.
+            AnswerCutError: This instance aborted it.
         """
-        end = asyncio.timeout(None)
+        timeout = asyncio.timeout(None)
         try:
-            async with end:
-                self._ends.add(end)
+            async with timeout:
+                self._timeouts.add(timeout)
                 try:
                     yield
                 finally:
-                    self._ends.discard(end)
+                    self._timeouts.discard(timeout)
         except TimeoutError as error:
-            if not end.expired():
+            if not timeout.expired():
                 raise
-            msg = "the instance had to stop before the answer's end"
+            msg = "the instance shut down before the end of the response"
             raise AnswerCutError(msg) from error
 
     def abort_all(self) -> None:
-        """End all that are under way."""
+        """Abort all responses in flight."""
         self.is_aborted = True
         now_s = asyncio.get_running_loop().time()
-        for end in self._ends:
-            end.reschedule(now_s)
+        for timeout in self._timeouts:
+            timeout.reschedule(now_s)
--- a/src/violethatch/_problems.py
+++ b/src/violethatch/_problems.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Errors as problem documents (RFC 9457), for every listener.
+"""Errors as problem documents (RFC 9457), for all listeners.
 
-Only aiohttp's responses are imported here: its web applications cost memory
-that the router doesn't need.
+Only aiohttp's responses are imported here: its web applications would cost memory, and
+the router doesn't need them.
 """
 
 from __future__ import annotations
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The router: admits calls by the desired state and serves each to its end."""
+"""The router: admits calls by the desired state and serves them to completion."""
 
 from __future__ import annotations
 
@@ -58,28 +58,28 @@
 
 _OK = 200
 _MULTIPLE_CHOICES = 300
-#: When to come back to another instance, in seconds.
+#: Retry-After for callers that other instances can serve, in seconds.
 OTHER_INSTANCE_RETRY_S = 0.1
-#: When to come back to an instance that has just started, in seconds.
+#: Retry-After of an instance that has just started, in seconds.
 _STARTING_RETRY_S = 0.4
-#: How long the store's being cut off is thought to last on, in seconds.
-_UNPROVEN_S = 1.0
-#: How long links that are lost everywhere are thought to stay so, in seconds.
-_NO_LINKS_S = 0.5
-#: The most rows that can't be understood that one line names.
-_MOST_ROWS_LOGGED = 10
-#: When to come back to a busy instance, in seconds: some requests' time.
+#: The expected remaining duration of a store outage, in seconds.
+_STORE_OUTAGE_S = 1.0
+#: The expected duration of a link loss that affects all instances, in seconds.
+_LINK_LOSS_S = 0.5
+#: The maximum number of undecodable rows that one log line names.
+_MAX_LOGGED_ROWS = 10
+#: Retry-After of a busy instance, in seconds: the duration of a few requests.
 _BUSY_RETRY_S = 0.5
 
 
 class Router:
-    """Serves callers by what the store and the backend servers tell.
+    """Serves callers based on the store's tables and the state of backend servers.
 
     Args:
         settings: Validated settings.
         client: Calls backend servers.
-        decoder: Reads the store's rows.
-        rng: All random choices.
+        decoder: Decodes the store's rows.
+        rng: The source of all random choices.
     """
 
     def __init__(
@@ -93,57 +93,57 @@
         self.settings = settings
         self.routing = Routing(settings, client, rng)
         self.metrics = RouterMetrics()
-        self.routing.ends.on_end = lambda: self.metrics.server_ends.inc({})
-        self.routing.service_of = self._declared
-        self.routing.link_watch.on_check = self.metrics.checked_links
-        self.routing.on_refusal = self.metrics.refused
-        self.routing.on_silent_run = self.metrics.silent_run
-        self.routing.on_stream_cut = self.metrics.stream_cut
-        self.routing.flow_control.on_signal = self.metrics.heard
-        self.routing.flow_control.on_send_rejected = self.metrics.kept_back
-        self.routing.flow_control.limits.on_permit = self.metrics.permit
+        self.routing.ends.on_end = lambda: self.metrics.server_crashes.inc({})
+        self.routing.find_service = self._find_service
+        self.routing.link_watch.on_check = self.metrics.count_link_check
+        self.routing.on_refusal = self.metrics.count_rejection
+        self.routing.on_silent_run = self.metrics.count_silent_run
+        self.routing.on_stream_cut = self.metrics.count_cut_stream
+        self.routing.flow_control.on_signal = self.metrics.count_signal
+        self.routing.flow_control.on_send_rejected = self.metrics.count_blocked_send
+        self.routing.flow_control.limits.on_permit = self.metrics.count_permit
         self.routing.admission.observer = self.metrics
         self.freshness = Freshness(limit_s=settings.proof_limit_s)
         self.stop_plan = StopPlan(grace_s=settings.bounds.grace_s)
-        self._request_room = RequestRoom()
+        self._request_capacity = RequestRoom()
         self.desired: DesiredState | None = None
-        #: The row of the desired state in force.
+        #: The encoded row of the desired state in force.
         self._desired_value: bytes | None = None
         self.start_times = StepTimes(began_s=clocks.now_s())
         self.in_flight = 0
         self.open_answers = OpenAnswers()
-        self._answer_times = AnswerTimes()
-        #: Tells, by table, from whom this instance has it.
+        self._response_times = AnswerTimes()
+        #: Returns, by table, where this instance reads it from.
         self.sources: Callable[[], Mapping[str, str]] = dict
-        #: Returns, by table, what this instance's view of it rests on.
+        #: Returns, by table, the version and age of this instance's view of it.
         self.tables: Callable[[], Mapping[str, TableState]] = dict
-        #: Returns what the desired state rests on.
+        #: Returns the version and age of the desired state's table.
         self.desired_table: Callable[[], TableState] = lambda: UNREAD
         self._decoder = decoder
 
     @property
     def max_body_bytes(self) -> int:
-        """The largest body that a caller may send, in bytes."""
+        """The maximum size of a request body, in bytes."""
         return self.desired.limits.body_bytes if self.desired else 0
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether load balancers should send callers to this instance."""
         if self.stop_plan.is_stopping or self.desired is None:
             return False
         age_s = self.freshness.age_s(now_s=clocks.now_s())
         return age_s < min(self.settings.ready_limit_s, self.freshness.limit_s)
 
     def has_request_capacity(self) -> bool:
-        """Tell whether callers that connect next will be served here."""
-        return self._request_room.check(
+        """Return whether this instance will serve callers that connect next."""
+        return self._request_capacity.check(
             self.in_flight,
             max_requests=self.settings.limits.most_requests,
             mean_of_others=self.routing.loads.mean_of_others(),
         )
 
     def may_connect(self) -> bool:
-        """Tell whether a caller's new connection is taken."""
+        """Return whether to accept a caller's new connection."""
         return may_connect(
             self.in_flight,
             max_requests=self.settings.limits.most_requests,
@@ -157,10 +157,10 @@
         peers: Callable[[], Sequence[InstanceEntry]],
         rng: random.Random,
     ) -> None:
-        """Hand calls to other instances where no server can be reached from here.
+        """Forward calls to other instances if no server can be reached from here.
 
         Args:
-            client: Hands requests over.
+            client: Sends requests to other instances.
             peers: Returns the other instances.
             rng: Chooses among them.
         """
@@ -171,17 +171,17 @@
             peers=peers,
             choice=PeerChoice(instance.availability_zone, rng=rng),
             state_version=lambda: self.desired.version if self.desired else 0,
-            retry_after_s=lambda: self.routing.retry_after_s(_NO_LINKS_S),
+            retry_after_s=lambda: self.routing.retry_after_s(_LINK_LOSS_S),
         )
-        forwarding.on_outcome = self.metrics.forwarded
+        forwarding.on_outcome = self.metrics.count_forward
         self.routing.forwarding = forwarding
 
     async def serve(self, call: Call, responder: Responder) -> None:
-        """Serve a call to its end.
+        """Serve a call to completion.
 
         Raises:
-            VioletHatchError: The caller got nothing yet; the error says what
-                is known.
+            VioletHatchError: No part of a response was sent; the error tells whether
+                the request may have been executed.
         """
         admitted = self._admit(call)
         self.routing.retries.count_request(admitted.service.name)
@@ -200,10 +200,10 @@
         runs: int,
         on_send: OnSend,
     ) -> None:
-        """Serve a call that another instance hands over; see `ForwardServer`.
+        """Serve a call that another instance forwards; see `ForwardServer`.
 
         Raises:
-            VioletHatchError: Nothing of an answer was given.
+            VioletHatchError: No part of a response was sent.
         """
         try:
             if self.desired is None or self.desired.version < state_version:
@@ -221,7 +221,7 @@
                 self.in_flight -= 1
         except VioletHatchError as error:
             age_s = clocks.now_s() - call.received_s
-            self._log_refused(
+            self._log_error(
                 call.id,
                 error,
                 age_s=age_s,
@@ -237,10 +237,10 @@
         self.metrics.requests.inc({"outcome": str(error.code)})
         if isinstance(error, (UnknownTargetError, UnauthorizedError)):
             proof_age_s = self.freshness.age_s(now_s=clocks.now_s())
-            self.metrics.refusal_proof_age_s.observe({}, proof_age_s)
-        self._log_refused(call_id, error, age_s=age_s)
+            self.metrics.rejection_proof_age_s.observe({}, proof_age_s)
+        self._log_error(call_id, error, age_s=age_s)
 
-    def _log_refused(
+    def _log_error(
         self,
         call_id: str,
         error: VioletHatchError,
@@ -254,9 +254,9 @@
         Args:
             call_id: The request.
             error: The error.
-            age_s: How long ago the request came, in seconds.
-            runs_before: Sends that may have run before it was forwarded.
-            forwarded_by: The instance that took it from its caller, if another one did.
+            age_s: The time since the request was received, in seconds.
+            runs_before: Sends that may have been executed before it was forwarded.
+            forwarded_by: The instance that forwarded it, if one did.
         """
         ran = Ran.MAYBE if runs_before else error.ran
         forwarded = {"forwarded_by": forwarded_by, "runs_before": runs_before}
@@ -268,7 +268,7 @@
             reason=error.detail,
             retry_after_s=error.retry_after_s,
             after_s=round(age_s, 4),
-            **self._start_fields(),
+            **self._start_up_fields(),
             list_state=self.routing.list_state()._asdict(),
             state_version=self.desired.version if self.desired else None,
             desired_table=self.desired_table()._asdict(),
@@ -278,7 +278,7 @@
         )
 
     def record_unexpected_error(self, call_id: str, error: Exception) -> None:
-        """Log and count a request that met an unforeseen error."""
+        """Log and count a request that failed with an unexpected exception."""
         code = VioletHatchError.code
         self.metrics.requests.inc({"outcome": str(code)})
         events.log(
@@ -290,7 +290,7 @@
         )
 
     def record_disconnect(self, call_id: str, *, age_s: float) -> None:
-        """Log and count a caller who went away."""
+        """Log and count a caller that disconnected."""
         self.metrics.requests.inc({"outcome": "caller_left"})
         events.log(events.CALLER_LEFT, request_id=call_id, after_s=round(age_s, 4))
 
@@ -303,15 +303,14 @@
         ran: Ran,
         forwarded_by: str | None = None,
     ) -> None:
-        """Log and count an answer that this instance ended because it stops.
+        """Log and count a response that this instance aborted at shutdown.
 
         Args:
             call_id: The caller's request.
-            age_s: How long ago the request came, in seconds.
-            is_begun: Whether the caller has a part of the answer.
-            ran: What is known of its execution.
-            forwarded_by: The instance that took it from its caller and counts it, if
-                another one did.
+            age_s: The time since the request was received, in seconds.
+            is_begun: Whether the caller has a part of the response.
+            ran: Whether the request was executed, as far as is known.
+            forwarded_by: The instance that forwarded it and counts it, if one did.
         """
         if not forwarded_by:
             self.metrics.requests.inc({"outcome": "cut"})
@@ -326,52 +325,56 @@
         )
 
     def apply_desired_state(self, view: TableView, _is_whole: bool) -> None:
-        """Take the desired state in at one go, if it is newer."""
+        """Apply the desired state without pausing, if it is newer."""
         slices = Slices()
-        self._put_in_force(view, slices.run_whole(self._desired_steps(view)), slices)
+        self._activate_state(view, slices.run_whole(self._decode_steps(view)), slices)
 
     async def apply_desired_state_in_slices(
         self, view: TableView, _is_whole: bool
     ) -> None:
-        """Take the desired state in, if it is newer; the older one rules meanwhile."""
+        """Apply the desired state in slices, if it is newer.
+
+        The older one stays in force meanwhile.
+        """
         slices = Slices()
-        state = await slices.run(self._desired_steps(view))
-        older = self.desired
-        self._put_in_force(view, state, slices)
-        # Freeing a large state takes some ms: in a turn of the loop of its own.
+        state = await slices.run(self._decode_steps(view))
+        previous = self.desired
+        self._activate_state(view, state, slices)
+        # Freeing a large state takes some ms: done in a separate iteration of the event
+        # loop.
         await asyncio.sleep(0)
-        del older
+        del previous
 
-    def _desired_steps(self, view: TableView) -> Steps[DesiredState | None]:
-        """Read the desired state by short steps; None if it is not newer."""
+    def _decode_steps(self, view: TableView) -> Steps[DesiredState | None]:
+        """Decode the desired state in short steps; None if it is not newer."""
         value = view.values.get("config")
         if value is None:
             return None
         if value == self._desired_value:
             self.freshness.trust()
             return None
-        above = self.desired.version if self.desired is not None else None
+        current_version = self.desired.version if self.desired is not None else None
         try:
-            state = yield from self._decoder.desired_steps(value, above=above)
+            state = yield from self._decoder.desired_steps(value, above=current_version)
         except ValueError as error:
-            # Keys may have been removed by it: the older state proves nothing.
+            # It may have removed keys, so the older state is no longer proven current.
             self.freshness.doubt()
-            self._note_refused_rows("desired state", {"config": str(error)})
+            self._record_invalid_rows("desired state", {"config": str(error)})
             return None
         self.freshness.trust()
         return state
 
-    def _put_in_force(
+    def _activate_state(
         self, view: TableView, state: DesiredState | None, slices: Slices
     ) -> None:
-        """Put a desired state in force that is whole, if there is one."""
+        """Put a decoded desired state in force, if there is one."""
         if state is None:
             return
         with slices.at_one_go():
             self.desired = state
             self._desired_value = view.values["config"]
             self.routing.admission.apply_desired_state(state)
-        self.metrics.state_taken(slices.took_s, slices.longest_s)
+        self.metrics.record_state_applied(slices.took_s, slices.longest_s)
         self.record_start_step(Step.DESIRED_STATE)
         events.log(
             events.REVISION_APPLIED,
@@ -386,18 +389,20 @@
         )
 
     def apply_server_list(self, view: TableView, is_whole: bool) -> None:
-        """Take the list of backend servers in."""
+        """Apply the list of backend servers."""
         now_s = clocks.now_s()
-        present, refused = self._decoded_servers(view)
+        present, errors = self._decode_servers(view)
         backends = self.routing.backends
         if is_whole:
             self.record_start_step(Step.SERVERS)
             change = backends.replace(
-                present, refused=refused, is_restored=view.is_restored, now_s=now_s
+                present, refused=errors, is_restored=view.is_restored, now_s=now_s
             )
         else:
-            gone = [key for key, value in view.values.items() if value is None]
-            change = backends.apply_changes(present, gone, refused=refused, now_s=now_s)
+            removed = [key for key, value in view.values.items() if value is None]
+            change = backends.apply_changes(
+                present, removed, refused=errors, now_s=now_s
+            )
         for event, ids in (
             (events.SERVER_FOUND, change.found),
             (events.SERVER_GONE, change.lost),
@@ -414,47 +419,47 @@
         self.routing.remove_unlisted(change.lost)
         self.routing.handle_restarts(change.restarted)
 
-    def _decoded_servers(
+    def _decode_servers(
         self, view: TableView
     ) -> tuple[list[BackendServer], dict[str, str]]:
-        """Return the servers of a list, and by id why others name none to use."""
+        """Return the listed servers, and by id the reason for each undecodable row."""
         servers = []
-        refused = {}
+        errors = {}
         for server_id, value in view.values.items():
             if value is None:
                 continue
             try:
                 servers.append(self._decoder.backend_server(server_id, value))
             except ValueError as error:
-                refused[server_id] = str(error)
-        if refused:
-            self._note_refused_rows("servers", refused)
-        return servers, refused
-
-    def _note_refused_rows(self, table: str, refused: Mapping[str, str]) -> None:
-        """Count rows that can't be understood, and log some of them in one line."""
-        self.metrics.rows_refused.add({"table": table}, len(refused))
+                errors[server_id] = str(error)
+        if errors:
+            self._record_invalid_rows("servers", errors)
+        return servers, errors
+
+    def _record_invalid_rows(self, table: str, errors: Mapping[str, str]) -> None:
+        """Count undecodable rows, and log some of them in one line."""
+        self.metrics.invalid_rows.add({"table": table}, len(errors))
         events.log(
             events.STATE_REFUSED,
             table=table,
-            rows=list(refused)[:_MOST_ROWS_LOGGED],
-            count=len(refused),
-            reason=next(iter(refused.values())),
+            rows=list(errors)[:_MAX_LOGGED_ROWS],
+            count=len(errors),
+            reason=next(iter(errors.values())),
         )
 
     def handle_store_recovery(self) -> None:
-        """Note that the list may be incomplete for a while."""
+        """Note that the server list may be incomplete after a store outage."""
         self.routing.backends.record_store_recovery(now_s=clocks.now_s())
 
     def apply_settings(self, settings: RouterSettings) -> None:
-        """Take changed settings in; own addresses stay until the next start."""
+        """Apply changed settings; own addresses stay until a restart."""
         self.settings = settings
         self.routing.apply_settings(settings)
         self.freshness.limit_s = settings.proof_limit_s
         self.stop_plan.grace_s = settings.bounds.grace_s
 
     def state(self) -> dict[str, Any]:
-        """Return what the process believes, for a dump; without secrets."""
+        """Return the process's state for a dump, without secrets."""
         now_s = clocks.now_s()
         return {
             "state_version": self.desired.version if self.desired else None,
@@ -473,11 +478,13 @@
             },
             "asked_rest_s": self.routing.flow_control.state(),
             "server_limits": {
-                one: limit._asdict()
-                for one, limit in self.routing.flow_control.limits.state().items()
+                server_id: limit._asdict()
+                for server_id, limit in self.routing.flow_control.limits.state().items()
             },
             "sources": dict(self.sources()),
-            "tables": {one: state._asdict() for one, state in self.tables().items()},
+            "tables": {
+                table: state._asdict() for table, state in self.tables().items()
+            },
             "load_instances": 1 + self.routing.loads.others.instances,
             "admission": self.routing.admission.dump(),
             "admission_settings": self.routing.admission.section._asdict(),
@@ -486,30 +493,30 @@
         }
 
     def update_metrics(self) -> None:
-        """Bring the metrics of what the process believes up to date."""
+        """Update the gauges from the process's state."""
         now_s = clocks.now_s()
         loads = self.routing.loads
-        self.metrics.loads(
+        self.metrics.set_loads(
             loads.own_totals(now_s=now_s),
             loads.others,
             loads.others_age_s(now_s=now_s),
         )
-        self.metrics.tables(self.tables())
+        self.metrics.set_tables(self.tables())
         suspects = self.routing.suspects
-        self.metrics.admission(self.routing.admission.states())
-        self.metrics.lost_links(self.routing.link_watch.links.lost())
-        self.metrics.servers_resting.set({}, len(self.routing.flow_control.state()))
-        self.metrics.limits(self.routing.flow_control.limits.state())
-        self.metrics.suspects(len(suspects), len(suspects.held(now_s=now_s)))
+        self.metrics.set_admission(self.routing.admission.states())
+        self.metrics.set_lost_links(self.routing.link_watch.links.lost())
+        self.metrics.servers_in_backoff.set({}, len(self.routing.flow_control.state()))
+        self.metrics.set_limits(self.routing.flow_control.limits.state())
+        self.metrics.set_suspects(len(suspects), len(suspects.held(now_s=now_s)))
 
     def resume_start(self, times: StepTimes) -> None:
-        """Go on with the steps that the process has reached so far."""
+        """Continue with the start-up steps that the process has completed so far."""
         self.start_times = times
         for step, after_s in times.after_s().items():
             self.metrics.start_step_s.observe({"step": step}, after_s)
 
     def record_start_step(self, step: Step) -> None:
-        """Note that the process has reached a step of its start."""
+        """Record that the process has completed a start-up step."""
         if not self.start_times.note(step, now_s=clocks.now_s()):
             return
         after_s = self.start_times.after_s()
@@ -523,13 +530,13 @@
             waits_for=self.start_times.waits_for,
         )
 
-    def _start_fields(self) -> dict[str, str]:
-        """Return what the process's start waits for, for a line, until it is over."""
+    def _start_up_fields(self) -> dict[str, str]:
+        """Return the pending start-up step as a log field, if there is one."""
         waits_for = self.start_times.waits_for
         return {} if waits_for is None else {"start_waits_for": waits_for}
 
-    def _declared(self, service: str) -> ServiceSpec | None:
-        """Return what the desired state declares for a service, if it does."""
+    def _find_service(self, service: str) -> ServiceSpec | None:
+        """Return a service's specification in the desired state, if it has one."""
         return self.desired.services.get(service) if self.desired else None
 
     def _proof_age_s(self) -> float | None:
@@ -538,10 +545,10 @@
         return None if age_s == float("inf") else round(age_s, 3)
 
     def _admit(self, call: Call) -> Admitted:
-        """Tell where a call goes.
+        """Return the route, service and workspace of a call.
 
         Raises:
-            VioletHatchError: It is refused; nothing has run.
+            VioletHatchError: It is rejected; nothing was executed.
         """
         now_s = clocks.now_s()
         if self.desired is None:
@@ -552,17 +559,17 @@
                 host=call.host, path=call.target, key=call.key, call_id=call.id
             )
         except (UnknownTargetError, UnauthorizedError):
-            # A newer desired state may have what is missing here.
+            # A newer desired state may contain the missing route or key.
             if self.freshness.age_s(now_s=now_s) < self.settings.refusal_limit_s:
                 raise
-            raise self._unproven() from None
+            raise self._make_unproven_error() from None
         if not is_fresh and admitted.workspace is not None:
-            raise self._unproven()
+            raise self._make_unproven_error()
         is_stream = admitted.route.kind is CallKind.STREAM
         refusal = self.stop_plan.refusal(
             is_stream=is_stream,
             now_s=now_s,
-            recent_s=self._answer_times.recent_s(admitted.route.name),
+            recent_s=self._response_times.recent_s(admitted.route.name),
             limit_s=call.deadline_within_s(admitted.route.timeout_s) - now_s,
         )
         if refusal is not None:
@@ -572,10 +579,10 @@
             raise OverloadedError(msg, retry_after_s=_BUSY_RETRY_S)
         return admitted
 
-    def _unproven(self) -> UnprovenStateError:
-        """Return the refusal of an instance that the store is cut off from."""
-        msg = "the store could not be asked of late"
-        retry_after_s = self.routing.retry_after_s(_UNPROVEN_S)
+    def _make_unproven_error(self) -> UnprovenStateError:
+        """Return the error of an instance that can't reach the store."""
+        msg = "the store could not be read recently"
+        retry_after_s = self.routing.retry_after_s(_STORE_OUTAGE_S)
         return UnprovenStateError(msg, retry_after_s=retry_after_s)
 
     async def _serve_admitted(
@@ -587,22 +594,22 @@
         runs: int = 0,
         on_send: OnSend = ignore_sends,
     ) -> None:
-        """Serve a call by its route's kind, and log how it went."""
-        local = self._local_call(call, admitted, runs=runs, on_send=on_send)
+        """Serve a call according to its route's kind, and log the outcome."""
+        local_call = self._make_local_call(call, admitted, runs=runs, on_send=on_send)
         served_by = None
         try:
-            status = await local.serve(responder)
+            status = await local_call.serve(responder)
         except MustForwardError:
-            forwarded = self._forwarded_call(call, admitted, local)
-            status = await forwarded.serve(responder)
-            served_by = forwarded.served_by
-        took_s = clocks.now_s() - call.received_s
+            forwarded_call = self._make_forwarded_call(call, admitted, local_call)
+            status = await forwarded_call.serve(responder)
+            served_by = forwarded_call.served_by
+        duration_s = clocks.now_s() - call.received_s
         if _OK <= status < _MULTIPLE_CHOICES:
             self.record_start_step(Step.FIRST_ANSWER)
-            self._answer_times.record(admitted.route.name, took_s)
-        first_event_s = local.output.first_event_s
+            self._response_times.record(admitted.route.name, duration_s)
+        first_event_s = local_call.output.first_event_s
         if not call.forwarded_by:
-            self.metrics.served(admitted, status, took_s, first_event_s)
+            self.metrics.record_response(admitted, status, duration_s, first_event_s)
         events.log(
             events.REQUEST_SERVED,
             request_id=call.id,
@@ -610,19 +617,19 @@
             service=admitted.service.name,
             workspace=admitted.workspace_name,
             status=status,
-            sends=local.sends,
-            moves=local.moves,
+            sends=local_call.sends,
+            moves=local_call.moves,
             first_event_s=round(first_event_s, 4) if first_event_s else None,
-            took_s=round(took_s, 4),
-            **local.log_fields(),
+            took_s=round(duration_s, 4),
+            **local_call.log_fields(),
             **({"served_by": served_by} if served_by else {}),
             **({"forwarded_by": call.forwarded_by} if call.forwarded_by else {}),
-            list_state=local.list_state._asdict(),
+            list_state=local_call.list_state._asdict(),
             state_version=self.desired.version if self.desired else None,
             proof_age_s=self._proof_age_s(),
         )
 
-    def _local_call(
+    def _make_local_call(
         self,
         call: Call,
         admitted: Admitted,
@@ -630,7 +637,7 @@
         runs: int,
         on_send: OnSend,
     ) -> StreamCall | PlainCall:
-        """Return a call as this instance serves it itself."""
+        """Return a call to be served by this instance itself."""
         is_stream = admitted.route.kind is CallKind.STREAM
         if is_stream and admitted.service.engine:
             return StreamCall(
@@ -638,30 +645,30 @@
                 call,
                 admitted,
                 runs=runs,
-                forward=functools.partial(self._forwarded_call, call, admitted),
+                forward=functools.partial(self._make_forwarded_call, call, admitted),
                 on_send=on_send,
             )
         return PlainCall(self.routing, call, admitted, runs=runs, on_send=on_send)
 
-    def _forwarded_call(
-        self, call: Call, admitted: Admitted, local: StreamCall | PlainCall
+    def _make_forwarded_call(
+        self, call: Call, admitted: Admitted, local_call: StreamCall | PlainCall
     ) -> ForwardedCall:
-        """Return a call, or what is left of it, to be served by other instances."""
+        """Return a call, or its remaining part, to be served by other instances."""
         assert self.routing.forwarding is not None
-        lost = self.routing.link_watch.links.lost().get(admitted.service.name)
+        link_loss = self.routing.link_watch.links.lost().get(admitted.service.name)
         events.log(
             events.REQUEST_FORWARDED,
             request_id=call.id,
             service=admitted.service.name,
-            runs=local.runs,
-            last_event_id=local.output.progress.last_id,
-            lost_s=round(clocks.now_s() - lost.since_s, 3) if lost else None,
-            silent=list(lost.silent) if lost else [],
+            runs=local_call.runs,
+            last_event_id=local_call.output.progress.last_id,
+            lost_s=round(clocks.now_s() - link_loss.since_s, 3) if link_loss else None,
+            silent=list(link_loss.silent) if link_loss else [],
         )
         return ForwardedCall(
             self.routing.forwarding,
             call,
             admitted,
-            runs=local.runs,
-            output=local.output,
+            runs=local_call.runs,
+            output=local_call.output,
         )
--- a/src/violethatch/_router_metrics.py
+++ b/src/violethatch/_router_metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The router's metrics, as Prometheus reads them."""
+"""The router's Prometheus metrics."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 _WAIT_BUCKETS_S = [0.01, 0.03, 0.06, 0.12, 0.25]
-_TAKING_BUCKETS_S = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0]
+_APPLY_BUCKETS_S = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0]
 _PROOF_AGE_BUCKETS_S = [0.5, 1.0, 1.5, 2.0, 3.0, 4.0]
 _PAUSE_BUCKETS_S = [0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5]
 _START_BUCKETS_S = [0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0]
@@ -44,7 +44,7 @@
             buckets=_LATENCY_BUCKETS_S,
             registry=self.registry,
         )
-        self.refusal_proof_age_s = Histogram(
+        self.rejection_proof_age_s = Histogram(
             "violethatch_router_refusal_proof_age_seconds",
             "The desired state's proof age when it refused a route or a key for good.",
             buckets=_PROOF_AGE_BUCKETS_S,
@@ -82,17 +82,17 @@
             "The store's era of a table's version; -1 where none is named.",
             registry=self.registry,
         )
-        self.table_ages_s = Gauge(
+        self.table_proof_ages_s = Gauge(
             "violethatch_router_table_proof_age_seconds",
             "The age of a table's newest proof; -1 without one.",
             registry=self.registry,
         )
-        self.server_ends = Counter(
+        self.server_crashes = Counter(
             "violethatch_router_server_ends_total",
             "Servers found to have ended while they had requests of this instance.",
             registry=self.registry,
         )
-        self.refusals = Counter(
+        self.rejections = Counter(
             "violethatch_router_refusals_total",
             "Sends that servers refused, by trouble and whether they were left alone.",
             registry=self.registry,
@@ -102,27 +102,27 @@
             "Runs of streams that counted as silent, by finding and what came then.",
             registry=self.registry,
         )
-        self.streams_cut = Counter(
+        self.cut_streams = Counter(
             "violethatch_router_streams_cut_total",
             "Streams that had begun and could not be finished, by reason.",
             registry=self.registry,
         )
-        self.server_words = Counter(
+        self.server_signals = Counter(
             "violethatch_router_server_words_total",
             "What servers said of themselves; unknown is what nothing reads.",
             registry=self.registry,
         )
-        self.sends_kept_back = Counter(
+        self.blocked_sends = Counter(
             "violethatch_router_sends_kept_back_total",
             "What was decided and not written to a server, by what it was and why.",
             registry=self.registry,
         )
-        self.servers_resting = Gauge(
+        self.servers_in_backoff = Gauge(
             "violethatch_router_servers_resting",
             "Servers that have asked this instance for rest.",
             registry=self.registry,
         )
-        self.forwards = Counter(
+        self.forwarded_requests = Counter(
             "violethatch_router_forwards_total",
             "Requests handed to other instances, by what came of it.",
             registry=self.registry,
@@ -132,7 +132,7 @@
             "Checks of the links to a service's servers, by outcome.",
             registry=self.registry,
         )
-        self.links_lost = Gauge(
+        self.lost_links = Gauge(
             "violethatch_router_links_lost",
             "1 for each service none of whose servers can be reached from here.",
             registry=self.registry,
@@ -142,38 +142,38 @@
             "Answers to what was asked before sends to limited servers.",
             registry=self.registry,
         )
-        self.limits_a_s = Gauge(
+        self.limits_per_s = Gauge(
             "violethatch_router_server_limit",
             "Requests a second that a server takes of all instances, by server.",
             registry=self.registry,
         )
-        self.limits_used = Gauge(
+        self.limit_usage = Gauge(
             "violethatch_router_server_limit_used",
             "Of a limited server's last four seconds: sent here, given here to all.",
             registry=self.registry,
         )
-        self.state_taken_s = Histogram(
+        self.state_apply_s = Histogram(
             "violethatch_router_state_taken_seconds",
             "How long a desired state took to be taken in, by part: all, longest_hold.",
-            buckets=_TAKING_BUCKETS_S,
+            buckets=_APPLY_BUCKETS_S,
             registry=self.registry,
         )
-        self.rows_refused = Counter(
+        self.invalid_rows = Counter(
             "violethatch_router_rows_refused_total",
             "Rows of the store that could not be understood, by table.",
             registry=self.registry,
         )
-        self.suspected_works = Gauge(
+        self.suspected_traits = Gauge(
             "violethatch_router_suspected_works",
             "Works and prompt parts that servers end under, and those held back.",
             registry=self.registry,
         )
-        self.instances_summed = Gauge(
+        self.known_instances = Gauge(
             "violethatch_router_load_instances",
             "Instances whose loads this one knows, itself included.",
             registry=self.registry,
         )
-        self.admission_room = Gauge(
+        self.admission_capacity = Gauge(
             "violethatch_router_admission_room_streams",
             "Streams that a service's usable runners can take at once.",
             registry=self.registry,
@@ -183,7 +183,7 @@
             "Streams of all instances at a service's usable runners.",
             registry=self.registry,
         )
-        self.admission_parts = Gauge(
+        self.admitted_ratios = Gauge(
             "violethatch_router_admission_part",
             "The part of a priority's streams that is admitted, where it is below 1.",
             registry=self.registry,
@@ -198,7 +198,7 @@
             "Starts of a service reserved by this instance that are not yet due.",
             registry=self.registry,
         )
-        self.admission_refusals = Counter(
+        self.admission_rejections = Counter(
             "violethatch_router_admission_refusals_total",
             "Streams that were not admitted, by priority and reason.",
             registry=self.registry,
@@ -214,7 +214,7 @@
             "Age of what it knows of the others' loads; -1 where nothing is known.",
             registry=self.registry,
         )
-        self.streams_known = Gauge(
+        self.known_streams = Gauge(
             "violethatch_router_load_streams",
             "Streams by whose they are, as this instance knows them.",
             registry=self.registry,
@@ -224,12 +224,12 @@
         """Count the store's restores."""
         era.on_restore(lambda: self.store_restores.inc({}))
 
-    def admission(self, states: Mapping[str, AdmissionState]) -> None:
-        """Show the governed services' admission, and theirs alone."""
+    def set_admission(self, states: Mapping[str, AdmissionState]) -> None:
+        """Set the gauges of services under admission control; remove all others."""
         for gauge in (
-            self.admission_room,
+            self.admission_capacity,
             self.admission_running,
-            self.admission_parts,
+            self.admitted_ratios,
             self.admission_queue,
             self.admission_reserved,
         ):
@@ -237,27 +237,27 @@
         for service, state in states.items():
             labels = {"service": service}
             if state.room is not None:
-                self.admission_room.set(labels, state.room.streams)
+                self.admission_capacity.set(labels, state.room.streams)
             self.admission_running.set(labels, state.running)
             self.admission_queue.set(labels, state.waiting)
             self.admission_reserved.set(labels, state.reserved)
             for priority, part in state.plan.parts.items():
-                self.admission_parts.set(labels | {"priority": str(priority)}, part)
+                self.admitted_ratios.set(labels | {"priority": str(priority)}, part)
 
     def record_loop_pause(self, pause_s: float) -> None:
-        """Count a pause of the event loop."""
+        """Record a pause of the event loop."""
         self.loop_pause_s.observe({}, pause_s)
 
     def record_refusal(self, priority: int, reason: str) -> None:
         """Count a stream that was not admitted."""
-        self.admission_refusals.inc({"priority": str(priority), "reason": reason})
+        self.admission_rejections.inc({"priority": str(priority), "reason": reason})
 
     def record_wait(self, wait_s: float) -> None:
-        """Count how long a stream waited for a path with room."""
+        """Record how long a stream waited for a path with capacity."""
         self.admission_wait_s.observe({}, wait_s)
 
-    def tables(self, states: Mapping[str, TableState]) -> None:
-        """Show what this instance's views of the tables rest on."""
+    def set_tables(self, states: Mapping[str, TableState]) -> None:
+        """Set the gauges of this instance's views of the tables."""
         for table, state in states.items():
             labels = {"table": table}
             age_s = state.proof_age_s
@@ -265,82 +265,84 @@
             self.table_versions.set(
                 labels, -1 if state.version is None else state.version
             )
-            self.table_ages_s.set(labels, -1.0 if age_s is None else age_s)
+            self.table_proof_ages_s.set(labels, -1.0 if age_s is None else age_s)
 
-    def loads(self, own: LoadTotals, others: LoadTotals, age_s: float | None) -> None:
-        """Show what is known of loads."""
-        self.instances_summed.set({}, own.instances + others.instances)
+    def set_loads(
+        self, own: LoadTotals, others: LoadTotals, age_s: float | None
+    ) -> None:
+        """Set the gauges of known loads."""
+        self.known_instances.set({}, own.instances + others.instances)
         self.load_age_s.set({}, -1.0 if age_s is None else age_s)
         for whose, totals in (("own", own), ("others", others)):
-            streams = sum(one.streams for one in totals.servers.values())
-            self.streams_known.set({"whose": whose}, streams)
+            streams = sum(load.streams for load in totals.servers.values())
+            self.known_streams.set({"whose": whose}, streams)
 
-    def refused(self, trouble: str, was_left_alone: bool) -> None:
-        """Count a send that a server refused."""
-        rests = "yes" if was_left_alone else "no"
-        self.refusals.inc({"trouble": trouble, "left_alone": rests})
+    def count_rejection(self, fault: str, was_in_cooldown: bool) -> None:
+        """Count a send that a server rejected."""
+        in_cooldown = "yes" if was_in_cooldown else "no"
+        self.rejections.inc({"trouble": fault, "left_alone": in_cooldown})
 
-    def silent_run(self, finding: str, outcome: str) -> None:
+    def count_silent_run(self, finding: str, outcome: str) -> None:
         """Count a run of a stream that counted as silent."""
         self.silent_runs.inc({"finding": finding, "outcome": outcome})
 
-    def stream_cut(self, reason: str) -> None:
-        """Count a stream that had begun and could not be finished."""
-        self.streams_cut.inc({"reason": reason})
+    def count_cut_stream(self, reason: str) -> None:
+        """Count a stream that had started and could not be finished."""
+        self.cut_streams.inc({"reason": reason})
 
-    def heard(self, kind: str) -> None:
-        """Count what a server said of itself."""
-        self.server_words.inc({"word": kind})
+    def count_signal(self, kind: str) -> None:
+        """Count a signal in a server's response headers."""
+        self.server_signals.inc({"word": kind})
 
-    def kept_back(self, sending: str, reason: str) -> None:
-        """Count what was not written to a server."""
-        self.sends_kept_back.inc({"sending": sending, "reason": reason})
+    def count_blocked_send(self, kind: str, reason: str) -> None:
+        """Count a send that was rejected before it was written."""
+        self.blocked_sends.inc({"sending": kind, "reason": reason})
 
-    def forwarded(self, outcome: str) -> None:
-        """Count a request that was handed to another instance."""
-        self.forwards.inc({"outcome": outcome})
+    def count_forward(self, outcome: str) -> None:
+        """Count a request that was forwarded to another instance."""
+        self.forwarded_requests.inc({"outcome": outcome})
 
-    def checked_links(self, outcome: str) -> None:
+    def count_link_check(self, outcome: str) -> None:
         """Count a check of links."""
         self.link_checks.inc({"outcome": outcome})
 
-    def lost_links(self, services: Iterable[str]) -> None:
-        """Show the services whose links are lost, and them alone."""
-        self.links_lost.values.clear()
+    def set_lost_links(self, services: Iterable[str]) -> None:
+        """Set the gauge of services whose links are lost; remove all others."""
+        self.lost_links.values.clear()
         for service in services:
-            self.links_lost.set({"service": service}, 1)
+            self.lost_links.set({"service": service}, 1)
 
-    def permit(self, outcome: str) -> None:
-        """Count an answer to a question for a permit."""
+    def count_permit(self, outcome: str) -> None:
+        """Count the response to a permit request."""
         self.limit_permits.inc({"outcome": outcome})
 
-    def limits(self, state: Mapping[str, LimitState]) -> None:
-        """Show the limits of servers, and of them alone."""
-        self.limits_a_s.values.clear()
-        self.limits_used.values.clear()
-        for server_id, one in state.items():
-            self.limits_a_s.set({"server": server_id}, one.limit_a_s)
-            for what, count in (("sent", one.sent), ("given", one.given)):
-                self.limits_used.set({"server": server_id, "what": what}, count)
+    def set_limits(self, state: Mapping[str, LimitState]) -> None:
+        """Set the gauges of servers with a rate limit; remove all others."""
+        self.limits_per_s.values.clear()
+        self.limit_usage.values.clear()
+        for server_id, limit in state.items():
+            self.limits_per_s.set({"server": server_id}, limit.limit_a_s)
+            for what, count in (("sent", limit.sent), ("given", limit.given)):
+                self.limit_usage.set({"server": server_id, "what": what}, count)
 
-    def state_taken(self, took_s: float, longest_hold_s: float) -> None:
-        """Note a desired state that was taken in, and how it held the event loop."""
-        self.state_taken_s.observe({"part": "all"}, took_s)
-        self.state_taken_s.observe({"part": "longest_hold"}, longest_hold_s)
+    def record_state_applied(self, took_s: float, longest_hold_s: float) -> None:
+        """Record how long a desired state took to apply, and its longest loop block."""
+        self.state_apply_s.observe({"part": "all"}, took_s)
+        self.state_apply_s.observe({"part": "longest_hold"}, longest_hold_s)
 
-    def suspects(self, suspected: int, held: int) -> None:
-        """Show how many traits are suspected, and how many are held back."""
-        self.suspected_works.set({"state": "suspected"}, suspected)
-        self.suspected_works.set({"state": "held"}, held)
+    def set_suspects(self, suspected: int, held: int) -> None:
+        """Set the gauges of suspected and of quarantined traits."""
+        self.suspected_traits.set({"state": "suspected"}, suspected)
+        self.suspected_traits.set({"state": "held"}, held)
 
-    def served(
+    def record_response(
         self,
         admitted: Admitted,
         status: int,
         took_s: float,
         first_event_s: float | None,
     ) -> None:
-        """Count a request that got its answer."""
+        """Count a request that got a response."""
         self.requests.inc({"outcome": str(status)})
         labels = {"kind": admitted.route.kind.value}
         self.answer_s.observe(labels, took_s)
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What all calls of one router share: views, choices and budgets."""
+"""State, selection and budgets that are shared by all calls of one router."""
 
 from __future__ import annotations
 
@@ -35,19 +35,20 @@
 from .upstream import Call, ReachOutcome, Refusal, RunnerClient, RunnerReport
 
 
-#: How long before links are found lost trouble with servers is due to that, in seconds.
-_BEFORE_LOSS_S = 1.0
+#: Server faults may be recorded this long before the loss of the links that caused them
+#: is detected, in seconds.
+_LOSS_DETECTION_DELAY_S = 1.0
 
 
 class RestartListener(Protocol):
-    """Is told of servers that have started again."""
+    """Is notified of restarted servers."""
 
     def on_restarted(self, server_ids: frozenset[str]) -> None:
-        """Note that servers have started again, with nothing of before."""
+        """Handle the restart of servers, which have lost all their state."""
 
 
 class Routing:
-    """Shared by all calls of one router."""
+    """State that all calls of one router share."""
 
     def __init__(
         self, settings: RouterSettings, client: RunnerClient, rng: random.Random
@@ -58,59 +59,66 @@
         self.backends = BackendTable(leaving_s=settings.bounds.leaving_s)
         self.health = RunnerHealth(stall_s=settings.bounds.stall_s)
         self.peer_fault_reports = FaultReportReceiver(
-            self.health, on_leaving=self._heard_leaving, rng=rng
+            self.health, on_leaving=self._handle_leaving_report, rng=rng
         )
-        #: Tells other instances of a sighting, where there are any.
-        self.broadcast_fault_report: Callable[[FaultReport], None] = lambda _sighting: (
+        #: Broadcasts a fault report to other instances, if there are any.
+        self.broadcast_fault_report: Callable[[FaultReport], None] = lambda _report: (
             None
         )
         self.probes = Probes(
-            client, on_silent=self._note_silent, on_report=self._note_report
+            client,
+            on_silent=self._handle_silent_server,
+            on_report=self._handle_runner_report,
         )
-        #: Returns what is declared for a service, if it is.
-        self.service_of: Callable[[str], ServiceSpec | None] = lambda _name: None
+        #: Returns a service's specification in the desired state, if it has one.
+        self.find_service: Callable[[str], ServiceSpec | None] = lambda _name: None
         self.link_watch = LinkWatch(
             self,
             listed=self.backends.entry_servers,
             usable=self.backends.usable,
             services=self.backends.services,
             zone=settings.instance.availability_zone,
-            # Checks leave the draws of everything else as they are.
+            # A separate generator, so that link checks don't change other random
+            # choices.
             rng=random.Random(settings.instance.id),
         )
-        self.link_watch.on_return = self._note_links_back
-        #: Hands calls to other instances, where there are any.
+        self.link_watch.on_return = self._end_cooldowns_since
+        #: Forwards calls to other instances, if there are any.
         self.forwarding: Forwarding | None = None
         self.flow_control = FlowController(self.backends, rng=rng)
-        self.flow_control.on_advisory_backoff = self._note_wish
-        self.flow_control.on_leaving = self._note_leaving
+        self.flow_control.on_advisory_backoff = self._apply_advisory_backoff
+        self.flow_control.on_leaving = self._handle_leaving_signal
         client.gate = self.flow_control
-        #: Told of each refusal: its trouble, and whether the server rested already.
-        self.on_refusal: Callable[[ServerFault, bool], None] = lambda _fault, _rests: (
-            None
+        #: Called for each rejected send, with the fault and whether the server was in
+        #: cooldown already.
+        self.on_refusal: Callable[[ServerFault, bool], None] = (
+            lambda _fault, _was_in_cooldown: None
         )
-        #: Told of each run that counted as silent: by what finding, and what came then.
+        #: Called for each run that counted as silent, with the finding and the outcome.
         self.on_silent_run: Callable[[str, str], None] = lambda _finding, _outcome: None
-        #: Told why a stream that had begun could not be finished.
+        #: Called with the reason when a stream that had started could not be finished.
         self.on_stream_cut: Callable[[str], None] = lambda _reason: None
         self.ends = ServerEnds(
             client, listed=self.backends.get, link_state=self.link_watch.state_for
         )
-        self.ends.on_proven = self._note_proven
-        #: The streams under way, which have to leave servers that start again.
+        self.ends.on_proven = self._record_confirmed_crashes
+        #: Streams in flight, which have to move off servers that restart.
         self.runs: set[RestartListener] = set()
         self.suspects = CrashSuspects()
-        #: Tells other instances of an end; and of a trait that is cleared, with how
-        #: many ends were known under it.
-        self.broadcast_crash: Callable[[End], None] = lambda _end: None
-        self.broadcast_cleared: Callable[[str, int], None] = lambda _trait, _ends: None
-        #: Tells whether this instance is the one that lets a request with a held part
-        #: through when its time is over.
+        #: Broadcast a server crash to other instances, and a cleared trait with the
+        #: number of crashes that were known for it.
+        self.broadcast_crash: Callable[[End], None] = lambda _crash: None
+        self.broadcast_cleared: Callable[[str, int], None] = (
+            lambda _trait, _crash_count: None
+        )
+        #: Returns whether this instance is the one that admits a trial request with a
+        #: quarantined prompt part after the quarantine has expired.
         self.may_try: Callable[[str], bool] = lambda _trait: True
-        #: Stores whether a trait is held back, where that lasts.
+        #: Stores whether a trait is quarantined, if there is persistent storage.
         self.store_hold: Callable[[str], None] = lambda _trait: None
         self.slow_runners = SlowRunners()
-        #: Tells other instances what a slow runner has said, where there are any.
+        #: Broadcasts the slowness that a slow runner reported, if there are other
+        #: instances.
         self.broadcast_slowness: Callable[[str, float], None] = lambda _id, _slowness: (
             None
         )
@@ -118,9 +126,9 @@
             max_silence_s=settings.policy.gap_limit_s
         )
         self.server_choice = ServerChoice(rng)
-        #: Returns what this instance's list of servers rests on.
+        #: Returns the source and age of this instance's server list.
         self.list_state: Callable[[], TableState] = lambda: UNREAD
-        #: Tells how many instances are known to serve; 0 where none is.
+        #: Returns how many serving instances are known; 0 if none is.
         self.instance_count: Callable[[], int] = lambda: 0
         self.loads = StreamLoads()
         self.retries = RetryBudgets(
@@ -148,7 +156,7 @@
         self.loads.own_demand = self.admission.demand
 
     def apply_settings(self, settings: RouterSettings) -> None:
-        """Take changed settings in."""
+        """Apply changed settings."""
         self.settings = settings
         self.retries.settings = settings
         self.backends.leaving_s = settings.bounds.leaving_s
@@ -166,16 +174,16 @@
         include_possibly_full: bool = False,
         priority: int = 0,
     ) -> Path | None:
-        """Return the quickest path of a service over healthy runners.
+        """Return the fastest path of a service over healthy runners.
 
         Args:
             service: A service with an engine.
-            avoided: Runners to leave alone beside the resting ones.
-            first: The runner that has to come first, if one has to.
-            current_path: The path that the request is on, if it moves from one.
-            include_possibly_full: Whether runners that may only be full are used where
-                the others don't hold all layers.
-            priority: The request's; 0 is the most urgent.
+            avoided: Runners to exclude besides those in cooldown.
+            first: The runner that has to be first, if that is fixed.
+            current_path: The request's current path, if it moves to another one.
+            include_possibly_full: Whether to include runners that may only be full,
+                if the others don't hold all layers.
+            priority: The request's priority; 0 is the most urgent.
         """
         self.expire()
         return self._paths.path(
@@ -190,11 +198,11 @@
     def isolated_path(
         self, service: ServiceSpec, *, avoided: frozenset[str], trait: str
     ) -> Path | None:
-        """Return a path for requests that may end servers, away from others' paths.
+        """Return a path for requests that may crash servers, isolated from other paths.
 
-        Requests with the same trait get the same path, as far as is possible.
+        Requests with the same trait get the same path where possible.
 
-        None where there is no path that begins elsewhere.
+        Returns None if no path has a different first server.
         """
         self.expire()
         return self._paths.isolated_path(service, excluded=avoided, key=trait)
@@ -202,9 +210,9 @@
     def blocked_time(
         self, service: ServiceSpec, *, priority: int = 0
     ) -> BlockedTime | None:
-        """Return how long rests and limits block all paths for a priority.
+        """Return how long cooldowns and limits block all paths for a priority.
 
-        None where some layer has no holder, whether it rests or not.
+        Returns None if some layer isn't held by any runner, in cooldown or not.
         """
         self.expire()
         return self._paths.blocked_time(service, priority=priority)
@@ -212,95 +220,99 @@
     def retry_after_s(
         self, blocked_s: float = 0.0, *, requested_backoff_s: float = 0.0
     ) -> float:
-        """Return when a caller who is turned away should come back, in seconds.
+        """Return the Retry-After delay for a rejected caller, in seconds.
 
         Args:
-            blocked_s: How long what blocks the caller is thought to last, in seconds.
-            requested_backoff_s: Until when servers have asked for rest, in seconds.
+            blocked_s: The estimated duration of the cause, in seconds.
+            requested_backoff_s: The back-off left that servers requested, in seconds.
         """
         return come_back_s(blocked_s, asked_s=requested_backoff_s, rng=self._rng)
 
     def record_stream_start(self) -> None:
-        """Count a stream that this instance begins."""
+        """Count a stream that this instance starts."""
         self._paths.record_stream_start()
 
     def set_instance_sources(
         self, *, count: Callable[[], int], place: Callable[[], ZonePosition]
     ) -> None:
-        """Take in who tells of the other instances.
+        """Set the sources of information about other instances.
 
         Args:
-            count: Tells how many are known to serve; 0 where none is.
-            place: Tells the own place among those of the own zone.
+            count: Returns the number of known serving instances; 0 if none is known.
+            place: Returns this instance's position among those of its own zone.
         """
         self.instance_count = count
         self.retries.instance_count = count
         self._paths.zone_position = place
 
     def usable(self, service: str) -> list[BackendServer]:
-        """Return a service's servers that may get new work."""
+        """Return a service's servers that may get new requests."""
         self.expire()
         return self.backends.usable(service)
 
     def expire(self) -> None:
-        """Let go of servers whose entries lapsed while the store was away."""
+        """Remove servers whose entries expired while the store was unavailable."""
         expired = self.backends.expire(now_s=clocks.now_s())
         if expired:
             events.log(events.SERVER_GONE, server_ids=list(expired), reason="lapsed")
-            # A store that was away may have dropped them while they go on.
+            # An unavailable store may have dropped entries of servers that still run.
             self.forget(expired)
         self.handle_restarts(
             self.backends.apply_deferred(now_s=clocks.now_s()).restarted
         )
 
     def remove_unlisted(self, server_ids: Collection[str]) -> None:
-        """Take in that servers are no longer listed."""
+        """Remove servers that are no longer listed."""
         self.ends.take_unlisted(server_ids)
         self.forget(server_ids)
 
-    def handle_restarts(self, before: Sequence[BackendServer]) -> None:
-        """Take in that servers have started again under their ids.
+    def handle_restarts(self, previous: Sequence[BackendServer]) -> None:
+        """Handle the restart of servers that keep their ids.
 
         Args:
-            before: The servers as they were before.
+            previous: The servers' entries before the restart.
         """
-        if not before:
+        if not previous:
             return
-        ids = frozenset(one.id for one in before)
+        server_ids = frozenset(server.id for server in previous)
         events.log(
             events.SERVER_RESTARTED,
-            server_ids=sorted(ids),
-            lifetimes_before=sorted(one.lifetime for one in before),
+            server_ids=sorted(server_ids),
+            lifetimes_before=sorted(server.lifetime for server in previous),
         )
-        for server in before:
+        for server in previous:
             if server.is_leaving:
                 self.ends.note_planned(server.lifetime)
-            self._note_proven(server, self.ends.proven(server), "new start")
-        self.forget(ids)
+            self._record_confirmed_crashes(
+                server, self.ends.proven(server), "new start"
+            )
+        self.forget(server_ids)
         for run in tuple(self.runs):
-            run.on_restarted(ids)
+            run.on_restarted(server_ids)
 
-    def _note_proven(self, server: BackendServer, ends: Iterable[End], by: str) -> None:
-        """Note a server's ends under requests that were proven later.
+    def _record_confirmed_crashes(
+        self, server: BackendServer, crashes: Iterable[End], confirmed_by: str
+    ) -> None:
+        """Record a server's crash for requests, confirmed after they had failed.
 
         Args:
-            server: The server that has ended.
-            ends: Its end under each trait of the requests that it had.
-            by: What has proven them.
+            server: The server that crashed.
+            crashes: Its crash, for each trait of the requests that it had.
+            confirmed_by: What confirmed the crash.
         """
-        for end in ends:
+        for crash in crashes:
             events.log(
                 events.SERVER_ENDED,
-                trait=end.trait,
+                trait=crash.trait,
                 server_id=server.id,
-                lifetime=end.lifetime,
-                has_begun=end.has_begun,
-                proven_by=by,
+                lifetime=crash.lifetime,
+                has_begun=crash.has_begun,
+                proven_by=confirmed_by,
             )
-            self.note_end(end)
+            self.note_end(crash)
 
     def forget(self, server_ids: Iterable[str]) -> None:
-        """Forget what was learnt of servers that are no longer listed."""
+        """Discard the state of servers that are no longer listed."""
         for server_id in server_ids:
             self.health.forget(server_id)
             self.peer_fault_reports.forget(server_id)
@@ -310,61 +322,66 @@
             self.server_choice.forget(server_id)
             self.loads.forget(server_id)
 
-    def note_end(self, end: End) -> None:
-        """Note an end that this instance has seen, and tell the others."""
+    def note_end(self, crash: End) -> None:
+        """Record a crash that this instance observed, and broadcast it."""
         now_s = clocks.now_s()
-        if not self.suspects.note(end, now_s=now_s):
+        if not self.suspects.note(crash, now_s=now_s):
             return
-        self.broadcast_crash(end)
-        if self.suspects.hold(end.trait, now_s=now_s) is not None:
-            self.store_hold(end.trait)
+        self.broadcast_crash(crash)
+        if self.suspects.hold(crash.trait, now_s=now_s) is not None:
+            self.store_hold(crash.trait)
 
     def note_cleared(
         self, traits: Iterable[str], *, begun_s: float | None = None
     ) -> None:
-        """Note that an answer shows traits to end no server.
+        """Record that a response shows that traits crash no server.
 
         Args:
-            traits: What it had.
-            begun_s: When it began, in monotonic seconds, where that is known.
+            traits: The request's traits.
+            begun_s: When the response started, in monotonic seconds, if that is known.
         """
         for trait in traits:
-            self._note_cleared(trait, begun_s)
+            self._clear_trait(trait, begun_s)
 
-    def _note_cleared(self, trait: str, begun_s: float | None) -> None:
-        """Note that a trait is suspected no more, and tell who suspects it."""
-        ends = self.suspects.ends(trait)
-        was_held = self.suspects.was_held(trait)
+    def _clear_trait(self, trait: str, begun_s: float | None) -> None:
+        """Clear a trait's suspicion, and broadcast that if it was suspected."""
+        crashes = self.suspects.ends(trait)
+        was_quarantined = self.suspects.was_held(trait)
         if not self.suspects.clear(trait, now_s=clocks.now_s(), begun_s=begun_s):
             return
-        events.log(events.TRAIT_CLEARED, trait=trait, ends=len(ends), was_held=was_held)
-        self.broadcast_cleared(trait, len(ends))
-        if was_held:
+        events.log(
+            events.TRAIT_CLEARED,
+            trait=trait,
+            ends=len(crashes),
+            was_held=was_quarantined,
+        )
+        self.broadcast_cleared(trait, len(crashes))
+        if was_quarantined:
             self.store_hold(trait)
 
     def started_ms(self, server_id: str) -> int:
-        """Return when a server's known start was; 0 where that is not known."""
+        """Return a server's last known start time in ms; 0 if it is unknown."""
         server = self.backends.get(server_id)
         return server.started_ms if server is not None else 0
 
     async def must_forward(self, call: Call, service: str) -> bool:
-        """Tell whether another instance has to serve a call.
+        """Return whether another instance has to serve a call.
 
-        The links to the service's servers are lost; a check of them that is under way
-        is waited for.
+        That is so if the links to the service's servers are lost. Waits for a check of
+        them that is in progress.
         """
         if self.forwarding is None or call.forwarded_by:
             return False
         return await self.link_watch.settled(service)
 
-    def _note_links_back(self, server_ids: Collection[str], since_s: float) -> None:
-        """Use servers again whose silence was due to this instance's own links."""
+    def _end_cooldowns_since(self, server_ids: Collection[str], since_s: float) -> None:
+        """End cooldowns of servers whose silence was caused by lost links."""
         for server_id in server_ids:
-            self.health.forget_recent(server_id, since_s - _BEFORE_LOSS_S)
+            self.health.forget_recent(server_id, since_s - _LOSS_DETECTION_DELAY_S)
 
     async def reach(self, server: BackendServer) -> ReachOutcome:
-        """Ask a server over a new connection; any answer will do."""
-        service = self.service_of(server.service)
+        """Probe a server over a new connection; any response counts."""
+        service = self.find_service(server.service)
         health_path = service.health_path if service is not None else ""
         return await self.client.reach(server, health_path=health_path)
 
@@ -378,39 +395,41 @@
             if server.availability_zone in zones
         )
 
-    def _note_wish(self, server: BackendServer, length_s: float) -> None:
-        """Send to a server that limits what it gets only where there is no other."""
-        length_s = min(length_s, self.health.stall_s)
+    def _apply_advisory_backoff(self, server: BackendServer, duration_s: float) -> None:
+        """Deprioritize a server that requests less load."""
+        duration_s = min(duration_s, self.health.stall_s)
         self.health.start_cooldown(
-            server.id, ServerFault.FULL, length_s, now_s=clocks.now_s()
+            server.id, ServerFault.FULL, duration_s, now_s=clocks.now_s()
         )
 
-    def _note_leaving(self, server: BackendServer) -> None:
-        """Log that a server has said that it leaves, and tell other instances."""
+    def _handle_leaving_signal(self, server: BackendServer) -> None:
+        """Log that a server advertised its shutdown, and broadcast it."""
         events.log(events.RUNNER_LEAVING, server_ids=[server.id], reason="said so")
         self.broadcast_fault_report(
             FaultReport(server.id, ServerFault.LEAVING, 0.0, server.started_ms)
         )
 
-    def _heard_leaving(self, sighting: FaultReport) -> bool:
-        """Take in that a server has told another instance that it leaves."""
-        is_news = self.backends.mark_leaving(
-            sighting.server_id, sighting.started_ms, now_s=clocks.now_s()
+    def _handle_leaving_report(self, report: FaultReport) -> bool:
+        """Mark a server as leaving that another instance reported so."""
+        is_new = self.backends.mark_leaving(
+            report.server_id, report.started_ms, now_s=clocks.now_s()
         )
-        if is_news:
+        if is_new:
             events.log(
-                events.RUNNER_LEAVING, server_ids=[sighting.server_id], reason="told"
+                events.RUNNER_LEAVING, server_ids=[report.server_id], reason="told"
             )
-        return is_news
+        return is_new
 
-    def _note_silent(self, server: BackendServer) -> None:
-        """Leave a server alone that a probe found silent."""
-        self.record_fault(server, ServerFault.SILENT, "", "gives no report")
+    def _handle_silent_server(self, server: BackendServer) -> None:
+        """Put a server into cooldown after a probe without a response."""
+        self.record_fault(server, ServerFault.SILENT, "", "no report received")
 
-    def _note_report(self, server: BackendServer, report: RunnerReport) -> None:
-        """Take in how slow a runner says that it is; log one that has become so."""
+    def _handle_runner_report(
+        self, server: BackendServer, report: RunnerReport
+    ) -> None:
+        """Record a runner's reported slowness; log each change to or from slow."""
         if 0 < report.started_ms < server.started_ms:
-            return  # another process's, which has been there before
+            return  # From an earlier process with this id.
         now_s = clocks.now_s()
         was_slow = server.id in self.slow_runners.slow(now_s=now_s)
         self.slow_runners.record(server.id, report.slowness, now_s=now_s)
@@ -423,17 +442,17 @@
             )
 
     def record_fault(
-        self, server: BackendServer, trouble: ServerFault, request_id: str, reason: str
+        self, server: BackendServer, fault: ServerFault, request_id: str, reason: str
     ) -> None:
-        """Leave a server alone for a while, and log why."""
-        self._note(server.id, trouble)
-        if trouble is ServerFault.SILENT:
+        """Put a server into cooldown, and log the reason."""
+        self._start_cooldown(server.id, fault)
+        if fault is ServerFault.SILENT:
             self.link_watch.suspect(server)
         events.log(
             events.SERVER_TROUBLE,
             request_id=request_id,
             server_id=server.id,
-            trouble=trouble.value,
+            trouble=fault.value,
             reason=reason,
             list_revision=self.backends.revision,
         )
@@ -446,58 +465,62 @@
         *,
         is_reported_by_peer: bool = False,
     ) -> None:
-        """Take in that a call was refused without being run.
+        """Record a call that was rejected without being executed.
 
         Args:
-            server_id: Who is at fault.
-            refusal: The server's word.
-            request_id: Names the call.
-            is_reported_by_peer: Whether that word is another server's.
+            server_id: The server at fault.
+            refusal: The rejection, with the server's signals.
+            request_id: The call's id.
+            is_reported_by_peer: Whether another server sent the rejection.
         """
-        trouble = _trouble_of(refusal, is_told_by_other=is_reported_by_peer)
+        fault = _fault_of(refusal, is_reported_by_peer=is_reported_by_peer)
         server = self.backends.get(server_id)
         if is_reported_by_peer and server is not None:
             self.flow_control.record_forwarded_backoff(
                 server, refusal.signals, request_id
             )
-        rested_s = self.health.cooldowns_s(now_s=clocks.now_s()).get(server_id, 0.0)
-        guessed_s = self._note(server_id, trouble) or 0.0
-        asked_s = self.flow_control.blocked_s(now_s=clocks.now_s()).get(server_id, 0.0)
-        self.on_refusal(trouble, rested_s > 0)
+        previous_cooldown_s = self.health.cooldowns_s(now_s=clocks.now_s()).get(
+            server_id, 0.0
+        )
+        cooldown_s = self._start_cooldown(server_id, fault) or 0.0
+        backoff_s = self.flow_control.blocked_s(now_s=clocks.now_s()).get(
+            server_id, 0.0
+        )
+        self.on_refusal(fault, previous_cooldown_s > 0)
         events.log(
             events.SERVER_REFUSED,
             request_id=request_id,
             server_id=server_id,
-            trouble=trouble.value,
+            trouble=fault.value,
             status=refusal.signals.status,
             asks_rest_s=refusal.signals.backoff_s,
-            rested_s=round(rested_s, 3),
-            rest_s=round(max(guessed_s, asked_s), 3),
+            rested_s=round(previous_cooldown_s, 3),
+            rest_s=round(max(cooldown_s, backoff_s), 3),
             is_told_by_other=is_reported_by_peer,
         )
 
-    def _note(self, server_id: str, trouble: ServerFault) -> float | None:
-        """Leave a server alone for a while, and tell other instances.
+    def _start_cooldown(self, server_id: str, fault: ServerFault) -> float | None:
+        """Put a server into cooldown, and broadcast the fault.
 
         Returns:
-            For how long, in seconds, or None if it was left alone already.
+            The cooldown in seconds, or None if one was already in effect.
         """
-        rest_s = self.health.record_fault(server_id, trouble, now_s=clocks.now_s())
-        if rest_s is None or not should_broadcast(trouble):
-            return rest_s
-        sighting = FaultReport(server_id, trouble, rest_s, self.started_ms(server_id))
+        cooldown_s = self.health.record_fault(server_id, fault, now_s=clocks.now_s())
+        if cooldown_s is None or not should_broadcast(fault):
+            return cooldown_s
+        report = FaultReport(server_id, fault, cooldown_s, self.started_ms(server_id))
         server = self.backends.get(server_id)
-        if trouble is ServerFault.SILENT and server is not None:
+        if fault is ServerFault.SILENT and server is not None:
             self.link_watch.when_sound(
-                server, functools.partial(self.broadcast_fault_report, sighting)
+                server, functools.partial(self.broadcast_fault_report, report)
             )
         else:
-            self.broadcast_fault_report(sighting)
-        return rest_s
+            self.broadcast_fault_report(report)
+        return cooldown_s
 
 
-def _trouble_of(refusal: Refusal, *, is_told_by_other: bool) -> ServerFault:
-    """Return the trouble that a refusal tells of."""
+def _fault_of(refusal: Refusal, *, is_reported_by_peer: bool) -> ServerFault:
+    """Return the fault that a rejection reports."""
     if refusal.is_misdirected:
         return ServerFault.NAMED
-    return ServerFault.ABSENT if is_told_by_other else ServerFault.FULL
+    return ServerFault.ABSENT if is_reported_by_peer else ServerFault.FULL
--- a/src/violethatch/_segments.py
+++ b/src/violethatch/_segments.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The model cut into segments, each held whole by some runners or by none."""
+"""The model's layers, split at all range boundaries of the runners.
+
+Each runner holds a segment whole or not at all.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +20,18 @@
     """A runner that holds all layers of a segment."""
 
     server: BackendServer
-    #: Its time for the segment's layers and one token, when it is empty, in ms.
+    #: The time for the segment's layers and one token on an idle runner, in ms.
     step_ms: float
 
 
 class Segment(NamedTuple):
-    """Layers between two neighbouring boundaries of ranges, and who holds them all."""
+    """Layers between two adjacent range boundaries, and the runners that hold them."""
 
     layers: LayerRange
     runners: tuple[SegmentRunner, ...]
 
     def split(self, layer: int) -> tuple[Segment, ...]:
-        """Return the segment in two parts if a layer lies inside of it."""
+        """Return the segment split at a layer, if that lies inside it."""
         if not self.layers.first < layer < self.layers.end:
             return (self,)
         below = LayerRange(self.layers.first, layer)
@@ -36,36 +39,40 @@
         return self._part(below), self._part(above)
 
     def _part(self, layers: LayerRange) -> Segment:
-        """Return a part of the segment, with the time for its layers."""
+        """Return a part of the segment, with its share of the step time."""
         share = layers.size / self.layers.size
-        holdings = (SegmentRunner(server, share * ms) for server, ms in self.runners)
-        return Segment(layers, tuple(holdings))
+        runners = (SegmentRunner(server, share * ms) for server, ms in self.runners)
+        return Segment(layers, tuple(runners))
 
 
 def split_into_segments(
     holders: Sequence[BackendServer], engine: EngineSpec
 ) -> tuple[Segment, ...]:
-    """Return the model, first layer to last, cut at each boundary of a held range."""
+    """Return the model's segments, in layer order."""
     boundaries = {0, engine.layer_count}
     for holder in holders:
         assert holder.layers is not None
         boundaries.update(holder.layers)
-    inside = sorted(one for one in boundaries if 0 <= one <= engine.layer_count)
+    inner = sorted(
+        boundary for boundary in boundaries if 0 <= boundary <= engine.layer_count
+    )
     return tuple(
-        _segment(LayerRange(start, end), holders, engine)
-        for start, end in itertools.pairwise(inside)
+        _make_segment(LayerRange(start, end), holders, engine)
+        for start, end in itertools.pairwise(inner)
     )
 
 
-def _segment(
+def _make_segment(
     layers: LayerRange, holders: Sequence[BackendServer], engine: EngineSpec
 ) -> Segment:
-    """Return a segment with all that hold it."""
+    """Return a segment with all runners that hold it."""
     return Segment(
         layers,
         tuple(
-            SegmentRunner(one, engine.step_time_ms(engine.kinds[one.kind], layers.size))
-            for one in holders
-            if one.layers and one.layers.covers(layers)
+            SegmentRunner(
+                holder, engine.step_time_ms(engine.kinds[holder.kind], layers.size)
+            )
+            for holder in holders
+            if holder.layers and holder.layers.covers(layers)
         ),
     )
--- a/src/violethatch/answer_times.py
+++ b/src/violethatch/answer_times.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""How long one instance's recent answers took, by route.
+"""Durations of an instance's recent responses, by route.
 
-Sized for tens of thousands of routes: only those that were used last are kept.
+Sized for tens of thousands of routes: only the most recently used are kept.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from collections.abc import Sequence
 
 
-#: Answers of a route that are remembered.
+#: Maximum number of durations kept per route.
 _MAX_ANSWERS = 40
-#: Routes that are remembered.
+#: Maximum number of routes kept.
 _MAX_ROUTES = 512
 
 
 class AnswerTimes:
-    """Remembers how long recent answers took."""
+    """Keeps the durations of recent responses."""
 
     def __init__(self) -> None:
         self._by_route: collections.OrderedDict[str, collections.deque[float]] = (
@@ -26,11 +26,11 @@
         )
 
     def __len__(self) -> int:
-        """Return how many routes are remembered."""
+        """Return the number of routes kept."""
         return len(self._by_route)
 
     def record(self, route: str, took_s: float) -> None:
-        """Take in how long a route's answer took, in seconds."""
+        """Record the duration of a route's response, in seconds."""
         times = self._by_route.setdefault(route, collections.deque(maxlen=_MAX_ANSWERS))
         times.append(took_s)
         self._by_route.move_to_end(route)
@@ -38,5 +38,5 @@
             self._by_route.popitem(last=False)
 
     def recent_s(self, route: str) -> Sequence[float]:
-        """Return how long a route's recent answers took, in seconds."""
+        """Return the durations of a route's recent responses, in seconds."""
         return tuple(self._by_route.get(route, ()))
--- a/src/violethatch/routes.py
+++ b/src/violethatch/routes.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Choosing a route: runners whose layer ranges tile the model.
+"""Route selection: runners whose layer ranges tile the model.
 
-The layer boundaries of a model are the nodes of a graph and each runner is an
-edge from its first layer to the end of its range; a route is a path from 0 to
-the number of layers.  `MarginalCost` takes the cheapest path, the other
-policies are the baselines it is measured against.
+The layer boundaries of a model are the nodes of a graph and each runner is an edge from
+its first layer to the end of its range; a route is a path from 0 to the number of
+layers.  `MarginalCost` selects the cheapest path; the other policies are baselines for
+comparison.
 
 .. versionadded:: 26.1.0
 """
@@ -21,15 +21,15 @@
 
 
 class Candidate(NamedTuple):
-    """A runner as a route's choice sees it.
+    """A runner with the figures that route selection uses.
 
     Attributes:
-        runner_id: Identifies the runner.
+        runner_id: The runner's id.
         layers: The layers it holds.
         peak_tokens_per_s: Its rate with full batches.
-        quickest_s: The quickest step of late, links included, in seconds.
-        own: Streams that this instance has on it.
-        others: Streams that other instances are thought to have on it.
+        quickest_s: The fastest recent step, links included, in seconds.
+        own: This instance's streams on it.
+        others: The estimated number of other instances' streams on it.
 
     .. versionadded:: 26.1.0
     """
@@ -43,7 +43,7 @@
 
 
 class RoutePolicy(Protocol):
-    """Chooses routes.
+    """Selects routes.
 
     .. versionadded:: 26.1.0
     """
@@ -51,7 +51,7 @@
     def choose(
         self, candidates: Sequence[Candidate], *, layer_count: int
     ) -> tuple[Candidate, ...] | None:
-        """Return a route over *candidates*, or None where there is none."""
+        """Return a route over *candidates*, or None if there is none."""
 
 
 def cheapest_path(
@@ -61,13 +61,13 @@
     cost: Callable[[Candidate], float],
     first_layer: int = 0,
 ) -> tuple[Candidate, ...] | None:
-    """Return the path of least total cost, or None if there is no path.
+    """Return the path of minimum total cost, or None if there is no path.
 
     Args:
         candidates: The runners that may be used.
-        layer_count: Where the path has to end.
-        cost: The cost of a runner, not negative.
-        first_layer: Where the path has to start.
+        layer_count: The layer boundary at which the path ends.
+        cost: Returns the cost of a runner, not negative.
+        first_layer: The layer at which the path starts.
 
     .. versionadded:: 26.1.0
     """
@@ -81,10 +81,10 @@
         known = best.get(candidate.layers.end)
         if known is None or total < known[0]:
             best[candidate.layers.end] = (total, candidate)
-    return _walk_back(best, layer_count=layer_count, first_layer=first_layer)
+    return _trace_path(best, layer_count=layer_count, first_layer=first_layer)
 
 
-def _walk_back(
+def _trace_path(
     best: dict[int, tuple[float, Candidate | None]],
     *,
     layer_count: int,
@@ -103,11 +103,11 @@
 
 
 def marginal_cost_s(candidate: Candidate) -> float:
-    """Return what one more stream on the runner costs all streams, in seconds.
+    """Return the cost that one more stream on the runner causes, in seconds.
 
-    With n streams on a saturated runner each gets a token every n / peak
-    seconds.  One more waits (n + 1) / peak itself and makes each of the n
-    others wait 1 / peak longer; the links come on top.
+    With n streams on a saturated runner each gets a token every n / peak seconds.
+    Another one waits (n + 1) / peak itself and delays each of the n others by 1 / peak;
+    the link time is added.
 
     .. versionadded:: 26.1.0
     """
@@ -117,7 +117,7 @@
 
 
 class MarginalCost:
-    """Takes the path with the least marginal cost.
+    """Selects the path with the minimum marginal cost.
 
     Args:
         sees_others: Whether other instances' streams count.
@@ -133,11 +133,11 @@
     def choose(
         self, candidates: Sequence[Candidate], *, layer_count: int
     ) -> tuple[Candidate, ...] | None:
-        """Return the cheapest route, or None where there is none."""
+        """Return the cheapest route, or None if there is none."""
         return cheapest_path(candidates, layer_count=layer_count, cost=self._cost_s)
 
     def _cost_s(self, candidate: Candidate) -> float:
-        """Return a runner's cost with the parts that count."""
+        """Return a runner's cost, limited to the enabled components."""
         if not self._sees_others:
             candidate = candidate._replace(others=0)
         if not self._sees_links:
@@ -145,32 +145,32 @@
         return marginal_cost_s(candidate)
 
 
-class _PerHop:
-    """Chooses hop by hop among the runners that still lead to the end."""
+class _HopByHop:
+    """Selects hop by hop among the runners from which the last layer is reachable."""
 
     def choose(
         self, candidates: Sequence[Candidate], *, layer_count: int
     ) -> tuple[Candidate, ...] | None:
-        """Return a route, or None where there is none."""
-        usable = _leading_to_end(candidates, layer_count=layer_count)
+        """Return a route, or None if there is none."""
+        usable = _group_reachable(candidates, layer_count=layer_count)
         path: list[Candidate] = []
         boundary = 0
         while boundary != layer_count:
             options = usable.get(boundary)
             if not options:
                 return None
-            chosen = self._pick(boundary, options)
+            chosen = self._select(boundary, options)
             path.append(chosen)
             boundary = chosen.layers.end
         return tuple(path)
 
-    def _pick(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
+    def _select(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
         """Return one of the runners that start at *boundary*."""
         raise NotImplementedError
 
 
-class RandomHops(_PerHop):
-    """Baseline: any runner, with equal chances.
+class RandomHops(_HopByHop):
+    """Baseline: selects a runner uniformly at random.
 
     .. versionadded:: 26.1.0
     """
@@ -178,39 +178,39 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def _pick(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
+    def _select(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
         return self._rng.choice(options)
 
 
-class RoundRobinHops(_PerHop):
-    """Baseline: each runner in turn.
+class RoundRobinHops(_HopByHop):
+    """Baseline: selects runners in round-robin order.
 
     .. versionadded:: 26.1.0
     """
 
     def __init__(self) -> None:
-        self._turns: defaultdict[int, int] = defaultdict(int)
+        self._counts: defaultdict[int, int] = defaultdict(int)
 
-    def _pick(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
-        turn = self._turns[boundary]
-        self._turns[boundary] += 1
+    def _select(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
+        turn = self._counts[boundary]
+        self._counts[boundary] += 1
         return options[turn % len(options)]
 
 
-class MinInFlightHops(_PerHop):
-    """Baseline: the runner with the fewest streams of this instance.
+class MinInFlightHops(_HopByHop):
+    """Baseline: selects the runner with the fewest streams of this instance.
 
     .. versionadded:: 26.1.0
     """
 
-    def _pick(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
+    def _select(self, boundary: int, options: Sequence[Candidate]) -> Candidate:
         return min(options, key=lambda item: (item.own, item.runner_id))
 
 
-def _leading_to_end(
+def _group_reachable(
     candidates: Collection[Candidate], *, layer_count: int
 ) -> dict[int, list[Candidate]]:
-    """Group the runners that lie on some path to the end by their first layer."""
+    """Group the runners on some path to the last layer by their first layer."""
     reaching = {layer_count}
     usable: defaultdict[int, list[Candidate]] = defaultdict(list)
     for candidate in sorted(candidates, key=lambda item: -item.layers.end):
--- a/tests/router_fakes.py
+++ b/tests/router_fakes.py
@@ -23,7 +23,7 @@
 
 
 def events(*numbers):
-    """Return the bytes of events."""
+    """Return the bytes of server-sent events."""
     return b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in numbers)
 
 
@@ -42,9 +42,9 @@
 
 
 class FakeAnswer:
-    """An answer from a script: bytes, pauses, waits, or an error at its end."""
+    """A scripted response: bytes, delays, awaited events or a final error."""
 
-    #: What an instance tells unless it says otherwise.
+    #: The number of sends that an instance reports by default.
     sends = 1
 
     def __init__(
@@ -80,7 +80,7 @@
 
 
 def refused_answer(*, address=None, is_misdirected=False):
-    """Return a refusal that says that nothing has run."""
+    """Return a rejection of a call that was not executed."""
     return FakeAnswer(status=503, refusal=Refusal(address, is_misdirected))
 
 
@@ -88,12 +88,12 @@
 
 
 def broken_connection():
-    """Return the error of a connection that ended."""
+    """Return the error of a broken connection."""
     return ConnectionBrokenError("broken")
 
 
 class FakeClient:
-    """Answers sends from a script, and notes all that was asked."""
+    """Returns scripted responses, and records all calls."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -142,7 +142,7 @@
 
 
 class FakeResponder:
-    """Notes what a caller gets."""
+    """Records the response that a caller gets."""
 
     def __init__(self):
         self.status = None
@@ -172,7 +172,7 @@
         self.end = "cut"
 
 
-FAST = {
+SHORT_LIMITS = {
     "first_event_limit_s": "0.05",
     "gap_limit_s": "0.05",
     "silence_limit_s": "0.1",
@@ -181,12 +181,12 @@
 
 def settings(**policy):
     """Return the router's settings with short limits."""
-    lines = [f"{key} = {value}" for key, value in (FAST | policy).items()]
+    lines = [f"{key} = {value}" for key, value in (SHORT_LIMITS | policy).items()]
     return parse_router_settings(filled() + "\n[policy]\n" + "\n".join(lines))
 
 
 def make_routing(client, *servers, rng, **policy):
-    """Return the views that calls share, with servers listed."""
+    """Return the shared state of calls, with servers listed."""
     routing = Routing(settings(**policy), client, rng)
     routing.backends.apply_changes(servers, [], now_s=clocks.now_s())
     return routing
@@ -212,6 +212,6 @@
 
 
 def admitted(*routes):
-    """Return what a desired state says of the sample call."""
+    """Return the sample call as a desired state admits it."""
     state = desired_state(*routes)
     return state.admit(host="menu.example", path="/draft/1", key="key-1", call_id="c1")
--- a/tests/routing_samples.py
+++ b/tests/routing_samples.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Samples that the router's tests share: engines, servers, desired states."""
+"""Sample engines, servers and desired states for the router's tests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def engine(**changes):
-    """Return an engine's figures, of the size of a real one."""
+    """Return an engine's figures, similar to those of a real engine."""
     spec = EngineSpec(
         slots=96,
         layer_count=80,
@@ -51,7 +51,7 @@
 
 
 def runner(name, first=None, end=None, *, kind="medium", zone="z1", **changes):
-    """Return a runner of the service `model`; empty without layers."""
+    """Return a runner of the service `model`, without layers by default."""
     layers = None if first is None else LayerRange(first, end)
     server = BackendServer(
         id=name,
@@ -99,7 +99,7 @@
 
 
 def plain_route(**changes):
-    """Return a route of calls of the service `labels` that may be repeated."""
+    """Return a route of repeatable calls of the service `labels`."""
     route = call_route(
         name="r2",
         path_prefix="/label/",
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Retries, limits, membership, leases, loads: the small decisions."""
+"""Unit tests of retries, limits, membership, leases and loads."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
 
 class TestRetryBudget:
     def test_reserve_then_ratio(self):
-        """After the reserve, retries are a part of the successes."""
+        """Once the reserve is used up, retries are a fraction of the successes."""
         budget = RetryBudget(ratio=0.1, reserve=2)
         assert [budget.withdraw() for _ in range(3)] == [True, True, False]
         for _ in range(11):
             budget.deposit()
         assert [budget.withdraw() for _ in range(2)] == [True, False]
 
-    def test_no_storm_while_all_fails(self):
-        """However many requests fail, only the reserve is retried."""
+    def test_no_retry_storm_if_all_requests_fail(self):
+        """Only the reserve is retried, however many requests fail."""
         budget = RetryBudget(reserve=50)
         assert sum(budget.withdraw() for _ in range(10_000)) == 50
 
     def test_resized_reserve_counts_at_once(self):
-        """A larger part is there to be used; a smaller one is cut."""
+        """A larger reserve is available at once; a smaller one takes effect at once."""
         budget = RetryBudget(ratio=0.1, reserve=2)
         budget.resize(5)
         assert [budget.withdraw() for _ in range(6)] == [True] * 5 + [False]
@@ -58,18 +58,18 @@
         budget.resize(1)
         assert [budget.withdraw() for _ in range(2)] == [True, False]
 
-    def test_refuses_nonsense(self):
-        """A reserve below one would never let a retry through."""
+    def test_rejects_invalid_reserve(self):
+        """A reserve below one would never allow a retry."""
         with pytest.raises(ValueError, match="reserve"):
             RetryBudget(reserve=0)
 
 
 class TestStallLimit:
-    def test_initial_until_learnt(self):
-        """Nothing learnt: the initial limit."""
+    def test_initial_limit_without_observations(self):
+        """Without any observation the initial limit applies."""
         assert StallLimit(initial_s=2.0).limit_s() == 2.0
 
-    def test_learns_from_step_times(self):
+    def test_follows_step_times(self):
         """Steady steps bring the limit close to them, but not below the floor."""
         limit = StallLimit(floor_s=0.001)
         for _ in range(100):
@@ -77,7 +77,7 @@
         assert 0.1 <= limit.limit_s() < 0.12
         assert StallLimit(floor_s=0.25, initial_s=0.1).floor_s == 0.25
 
-    def test_prefill_gets_longer(self):
+    def test_prefill_gets_a_higher_limit(self):
         """Many positions at once get at least the initial limit."""
         limit = StallLimit(initial_s=2.0)
         limit.observe(0.01)
@@ -86,7 +86,7 @@
 
 class TestWorkspaceLimiter:
     def test_concurrency(self):
-        """Requests beyond the share are refused, and admitted after a release."""
+        """Requests beyond the share are rejected, and admitted after a release."""
         limiter = WorkspaceLimiter(WorkspaceLimits(1000.0, 4), share=0.5, now_s=0.0)
         limiter.admit(0.0)
         limiter.admit(0.0)
@@ -95,8 +95,8 @@
         limiter.release()
         limiter.admit(0.0)
 
-    def test_rate_says_when_to_come_back(self):
-        """The error's Retry-After is when the next token is there."""
+    def test_rate_limit_sets_retry_after(self):
+        """The error's Retry-After is the time until the next token is available."""
         limiter = WorkspaceLimiter(WorkspaceLimits(2.0, 100), now_s=0.0)
         limiter.admit(0.0)
         limiter.admit(0.0)
@@ -129,20 +129,20 @@
 
 
 class TestDemandShares:
-    def test_follows_demand_above_a_floor(self):
-        """The busy instance gets most, the idle one keeps a part."""
+    def test_follows_demand_with_a_floor(self):
+        """The busy instance gets the larger share, the idle one keeps the floor."""
         shares = demand_shares({"a": 9.0, "b": 1.0}, floor=0.2)
         assert shares == pytest.approx({"a": 0.82, "b": 0.18})
         assert sum(shares.values()) == pytest.approx(1.0)
 
     def test_equal_without_demand(self):
-        """No demand known: an equal split; nobody there: nothing."""
+        """Without known demand the split is equal; without instances it is empty."""
         assert demand_shares({"a": 0.0, "b": 0.0}) == {"a": 0.5, "b": 0.5}
         assert demand_shares({}) == {}
 
 
 class TestPeerTable:
-    def test_silence_ends_a_peer(self):
+    def test_silent_peer_expires(self):
         """A peer is dropped after the limit, not before."""
         peers = PeerTable(silence_limit_s=2.0)
         assert peers.heard("p", now_s=0.0)
@@ -153,8 +153,8 @@
 
 
 class TestLeavingMarks:
-    def test_one_source_alone_does_not_put_back(self):
-        """The list's word does not lift an operator's."""
+    def test_each_source_clears_only_its_own_mark(self):
+        """Clearing the list's mark does not clear an operator's."""
         marks = LeavingMarks()
         assert marks.mark("r", "operator")
         assert not marks.mark("r", "list")
@@ -165,8 +165,8 @@
 
 
 class TestRendezvous:
-    def test_same_for_all_and_stable(self):
-        """Order does not matter, and a leaver moves only its own jobs."""
+    def test_independent_of_order_and_stable(self):
+        """Order does not matter, and a removed member moves only its own jobs."""
         members = [f"m{number}" for number in range(7)]
         jobs = [f"job{number}" for number in range(200)]
         before = {job: rendezvous(job, members)[0] for job in jobs}
@@ -176,8 +176,8 @@
 
 
 class TestWatchedRunners:
-    def test_own_zone_and_a_bounded_part_of_others(self):
-        """All of the own zone, some of the rest, spread over the instances."""
+    def test_own_zone_and_some_remote_runners(self):
+        """All of the own zone and some of the others, spread over the instances."""
         zones = {f"r{n}": f"z{n % 4}" for n in range(80)}
         seen = set()
         for instance in ("a", "b", "c", "d", "e", "f", "g", "h"):
@@ -188,12 +188,12 @@
             assert own <= watched
             assert len(watched - own) == 20
             seen |= watched
-        # Chosen by chance, a third of them each: few are left to nobody.
+        # Each instance picks a third of them at random: few are picked by no instance.
         assert len(seen) >= 78
 
 
-async def no_answer(_message):
-    """Stand in for what takes messages."""
+async def ignore_message(_message):
+    """Ignore a message."""
 
 
 class TestGossip:
@@ -208,8 +208,8 @@
             rng=random.Random(name),
         )
 
-    def test_spreads_over_a_third(self):
-        """Whom a peer knows becomes known without talking to it."""
+    def test_spreads_through_a_third_instance(self):
+        """A peer's known peers become known without direct contact."""
         a, b, c = (self.make(name) for name in "abc")
         for gossip in (a, b, c):
             gossip.tick(revision=1, leaving=False)
@@ -218,7 +218,7 @@
         assert a.zone_members() == ["a", "b", "c"]
 
     def test_old_counters_don_t_keep_a_peer_alive(self):
-        """A dead peer that others still mention expires all the same."""
+        """A dead peer that others still report expires nevertheless."""
         a, b, c = (self.make(name) for name in "abc")
         c.tick(revision=1, leaving=False)
         b.merge(c.beats_for("z1"), now_s=0.0)
@@ -227,15 +227,15 @@
             a.merge(b.beats_for("z1"), now_s=float(round_s))
         assert a.expire(now_s=4.0) == ["c"]
 
-    def test_other_zones_hear_only_of_oneself(self):
-        """To a remote peer an instance speaks for itself."""
+    def test_only_own_beat_is_sent_to_other_zones(self):
+        """An instance sends only its own beat to a remote peer."""
         a, b = self.make("a"), self.make("b")
         b.tick(revision=1, leaving=False)
         a.merge(b.beats_for("z1"), now_s=0.0)
         assert [beat.instance_id for beat in a.beats_for("z2")] == ["a"]
 
-    def test_restart_outranks(self):
-        """A restarted instance's low counter counts."""
+    def test_restart_supersedes_counter(self):
+        """A restarted instance's low counter is accepted."""
         a, b = self.make("a"), self.make("b")
         for _ in range(9):
             b.tick(revision=1, leaving=False)
@@ -244,8 +244,8 @@
         assert a.is_live("b", incarnation=2)
         assert not a.is_live("b", incarnation=1)
 
-    def test_leaver_is_gone_at_once(self):
-        """A leaving mark does not wait for silence."""
+    def test_leaving_instance_is_removed_at_once(self):
+        """A leaving mark takes effect before the silence limit."""
         a, b = self.make("a"), self.make("b")
         b.tick(revision=1, leaving=False)
         a.merge([b.own], now_s=0.0)
@@ -253,8 +253,8 @@
         a.merge([b.own], now_s=0.1)
         assert a.zone_members() == ["a"]
 
-    async def test_own_standstill_is_taken_for_the_others_silence(self):
-        """Whoever was there before is there until it is silent by itself."""
+    async def test_own_pause_does_not_expire_peers(self):
+        """Guards against peers that expire because this instance itself was paused."""
         a, b = self.make("a"), self.make("b")
         b.tick(revision=1, leaving=False)
         a.merge([b.own], now_s=clocks.now_s())
@@ -264,8 +264,8 @@
             interval_s=0.2,
             rng=random.Random(1),
             encoded_revision=bytes,
-            take_revision=no_answer,
-            write=no_answer,
+            take_revision=ignore_message,
+            write=ignore_message,
             connections=1,
         )
         running = asyncio.create_task(peers.run(lambda: 1))
@@ -277,8 +277,8 @@
         assert a.zone_members() == ["a"]
         running.cancel()
 
-    def test_fifty_peers_notice_a_death_and_nothing_else(self):
-        """With bounded messages nobody live is dropped; the dead one is by all."""
+    def test_fifty_peers_detect_only_the_dead_peer(self):
+        """With bounded messages no live peer is dropped, and the dead one is by all."""
         rng = random.Random(4)
         names = [f"i{number}" for number in range(50)]
         gossips = {name: self.make(name) for name in names}
@@ -307,8 +307,8 @@
         """Return a holder's view."""
         return Lease(row_key="lease", holder=holder, duration_s=6.0, margin_s=2.0)
 
-    def test_takes_an_absent_lease(self):
-        """The first one to write holds epoch one."""
+    def test_acquires_an_absent_lease(self):
+        """The first holder to write gets epoch one."""
         lease = self.make("a")
         lease.observe(None, now_s=0.0)
         put = lease.wanted_write(now_s=0.0)
@@ -317,8 +317,8 @@
         assert lease.held_epoch(now_s=3.9) == 1
         assert lease.held_epoch(now_s=4.0) is None
 
-    def test_takes_over_only_after_the_whole_duration(self):
-        """A foreign lease is left alone until it stood still long enough."""
+    def test_takeover_only_after_the_whole_duration(self):
+        """Another holder's lease is left alone until its whole duration has passed."""
         lease = self.make("b")
         value = {"holder": "a", "epoch": 3, "renewal": 5, "duration_s": 6.0}
         lease.observe(Row("lease", 9, value), now_s=10.0)
@@ -326,16 +326,16 @@
         put = lease.wanted_write(now_s=16.0)
         assert (put.value["epoch"], put.if_version) == (4, 9)
 
-    def test_renewal_seen_puts_the_takeover_off(self):
-        """Each change of the row starts the wait anew."""
+    def test_observed_renewal_delays_the_takeover(self):
+        """Each change of the row restarts the wait."""
         lease = self.make("b")
         value = {"holder": "a", "epoch": 3, "renewal": 5, "duration_s": 6.0}
         lease.observe(Row("lease", 9, value), now_s=0.0)
         lease.observe(Row("lease", 10, value), now_s=5.0)
         assert lease.wanted_write(now_s=8.0) is None
 
-    def test_paused_holder_stops_before_anyone_takes_over(self):
-        """Whatever the pause, two never hold it at one time."""
+    def test_paused_holder_expires_before_a_takeover(self):
+        """Two instances never hold the lease at the same time, whatever the pause."""
         rng = random.Random(2)
         for _ in range(200):
             a, b = self.make("a"), self.make("b")
@@ -343,15 +343,15 @@
             put = a.wanted_write(now_s=0.0)
             sent_s = rng.uniform(0.0, 1.0)
             a.written(put, sent_s=sent_s)
-            # The write takes effect after it was sent, and is seen after that.
+            # The write takes effect after it was sent, and is read after that.
             seen_s = sent_s + rng.uniform(0.0, 3.0)
             b.observe(Row("lease", 1, dict(put.value)), now_s=seen_s)
             now_s = seen_s + rng.uniform(0.0, 12.0)
             taken = b.wanted_write(now_s=now_s)
             assert taken is None or a.held_epoch(now_s=now_s) is None
 
-    def test_own_write_is_found_by_reading(self):
-        """A renewal whose answer was lost counts, from when it was sent."""
+    def test_own_write_is_confirmed_by_a_read(self):
+        """A renewal with a lost response counts, from the time at which it was sent."""
         lease = self.make("a")
         lease.observe(None, now_s=0.0)
         put = lease.wanted_write(now_s=0.0)
@@ -359,8 +359,8 @@
         assert lease.held_epoch(now_s=3.9) == 1
         assert lease.held_epoch(now_s=4.0) is None
 
-    def test_resigning_lets_others_in(self):
-        """A drained holder's lease need not run out."""
+    def test_resigned_lease_can_be_acquired(self):
+        """Another instance can acquire a resigned lease before it expires."""
         a, b = self.make("a"), self.make("b")
         a.observe(None, now_s=0.0)
         put = a.wanted_write(now_s=0.0)
@@ -372,8 +372,8 @@
 
 
 class TestFence:
-    def test_refuses_a_superseded_epoch(self):
-        """Once a higher epoch was seen, lower ones are refused."""
+    def test_rejects_a_superseded_epoch(self):
+        """Lower epochs are rejected after a higher one."""
         fence = Fence()
         assert [fence.admit(epoch) for epoch in (1, 3, 2, 3)] == [
             True,
@@ -384,16 +384,16 @@
 
 
 class TestLoadView:
-    def test_own_streams_of_the_reports_time_are_taken_off(self):
-        """Streams opened since the report was made are not others'."""
+    def test_streams_opened_since_the_report(self):
+        """Streams opened since the report was made are not counted as others'."""
         view = LoadView(report_lag_s=0.2)
         view.opened(now_s=0.0)
         view.opened(now_s=0.9)
         view.reported(5, now_s=1.0)
         assert (view.own, view.others) == (2, 4)
 
-    def test_closing_since_the_report(self):
-        """Streams closed since the report are not others' either."""
+    def test_streams_closed_since_the_report(self):
+        """Streams closed since the report are not counted as others' either."""
         view = LoadView(report_lag_s=0.2)
         view.opened(now_s=0.0)
         view.opened(now_s=0.0)
@@ -401,8 +401,8 @@
         view.reported(2, now_s=1.0)
         assert (view.own, view.others) == (1, 0)
 
-    def test_quickest_step_is_forgotten_slowly(self):
-        """A link that got slow raises the cost after some steps."""
+    def test_fastest_step_decays_slowly(self):
+        """A link that became slow raises the cost after some steps."""
         view = LoadView()
         view.observed(0.01)
         view.observed(1.0)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -154,7 +154,7 @@
         (line,) = [one for one in lines if one["number"] == 2408]
         assert len(line["rows"]) <= 10
         assert line["count"] == 500
-        assert made.metrics.rows_refused.get({"table": "servers"}) == 500
+        assert made.metrics.invalid_rows.get({"table": "servers"}) == 500
 
     @settings(max_examples=300, deadline=None)
     @given(st.lists(foreign(), max_size=6), st.booleans())
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Route choice."""
+"""Route selection."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     @given(ranges=st.lists(RANGES, max_size=12))
     @settings(derandomize=True, deadline=None, max_examples=200)
     def test_routes_tile_the_model(self, policy, ranges):
-        """Any policy returns a tiling exactly when there is one."""
+        """Each policy returns a tiling if and only if there is one."""
         candidates = [
             runner(str(number), first, end)
             for number, (first, end) in enumerate(ranges)
@@ -55,23 +55,23 @@
 
 
 class TestMarginalCost:
-    def test_prefers_the_runner_with_room(self):
+    def test_prefers_the_runner_with_free_capacity(self):
         """Streams count in proportion to the runner's rate."""
         slow = runner("slow", 0, 1, peak=50.0, own=2)
         fast = runner("fast", 0, 1, peak=400.0, own=5)
         assert names(MarginalCost().choose([slow, fast], layer_count=1)) == ["fast"]
 
     def test_counts_other_instances_streams(self):
-        """What others have on a runner weighs as much as one's own."""
+        """Streams of other instances count as much as one's own."""
         crowded = runner("a", 0, 1, others=9)
         empty = runner("b", 0, 1, own=1)
         candidates = [crowded, empty]
         assert names(MarginalCost().choose(candidates, layer_count=1)) == ["b"]
-        blind = MarginalCost(sees_others=False)
-        assert names(blind.choose(candidates, layer_count=1)) == ["a"]
+        without_others = MarginalCost(sees_others=False)
+        assert names(without_others.choose(candidates, layer_count=1)) == ["a"]
 
     def test_a_slow_link_is_a_cost(self):
-        """One hop over a slow link loses against two over quick ones."""
+        """One hop over a slow link costs more than two over fast links."""
         far = runner("far", 0, 2, quickest_s=1.0)
         near = [runner("near-0", 0, 1), runner("near-1", 1, 2)]
         route = MarginalCost().choose([far, *near], layer_count=2)
--- a/tests/test_state_at_admission.py
+++ b/tests/test_state_at_admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which desired state rules a request that is under way: that of its admission."""
+"""A request in flight is served by the desired state in force at its admission."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from violethatch.upstream import NotSentError
 
 
-STREAMS, PLAIN = call_route(), plain_route()
-#: What a newer state may say of both routes.
+STREAM_ROUTE, PLAIN_ROUTE = call_route(), plain_route()
+#: Changes that a newer state may make to both routes.
 CHANGES = {
     "timeout": {"timeout_s": 0.001},
     "attempts": {"max_attempts": 1},
@@ -46,7 +46,7 @@
 
 
 class ChangingClient(FakeClient):
-    """Can't connect to the first server; a newer state comes meanwhile."""
+    """Can't connect to the first server; a newer state is put in force meanwhile."""
 
     def __init__(self, change, *answers):
         super().__init__(*answers)
@@ -62,8 +62,8 @@
         raise NotSentError(msg)
 
 
-class Site:
-    """A router before two runners and two plain servers."""
+class RouterSite:
+    """A router with two runners and two plain servers."""
 
     def __init__(self, newer):
         self.client = ChangingClient(lambda: self.put_in_force(newer))
@@ -73,7 +73,7 @@
             decoder=WireDecoder(),
             rng=random.Random(1),
         )
-        self.put_in_force(desired_state(STREAMS, PLAIN))
+        self.put_in_force(desired_state(STREAM_ROUTE, PLAIN_ROUTE))
         servers = [plain_server("s1"), plain_server("s2")]
         runners = [runner(name, 0, 80, kind="large") for name in ("a", "b")]
         self.router.routing.backends.apply_changes([*servers, *runners], [], now_s=0.0)
@@ -83,7 +83,7 @@
         self.router.desired = state
         self.router.routing.admission.apply_desired_state(state)
 
-    async def ask(self, path):
+    async def serve(self, path):
         responder = FakeResponder()
         async with asyncio.timeout(5):
             await self.router.serve(make_call(path=path), responder)
@@ -96,27 +96,27 @@
     return request.param
 
 
-def answer_to(path):
-    """Return the whole answer of a server."""
+def make_answer(path):
+    """Return a server's whole response."""
     if path == "/label/1":
         return FakeAnswer(b"done")
     return FakeAnswer(events(1, 2))
 
 
-async def asked_while_changing(path, newer):
-    """Return the site and the answer to a request under way when a state came."""
-    site = Site(newer)
-    site.client.answers = [answer_to(path)]
-    return site, await site.ask(path)
+async def serve_during_change(path, newer):
+    """Return the site and the response to a request in flight during a state change."""
+    site = RouterSite(newer)
+    site.client.answers = [make_answer(path)]
+    return site, await site.serve(path)
 
 
-class TestRequestUnderWay:
+class TestRequestInFlight:
     @pytest.mark.parametrize("change", CHANGES.values(), ids=CHANGES)
     async def test_changed_route(self, path, change):
-        """It goes on by what it was admitted with, also where it is sent again."""
+        """It continues with the route of its admission, also for a second send."""
         routes = [call_route(**change), plain_route(**change)]
         newer = desired_state(*routes, version=2)
-        site, responder = await asked_while_changing(path, newer)
+        site, responder = await serve_during_change(path, newer)
         assert (responder.status, responder.end) == (200, "whole")
         first, second = site.client.sends
         assert first.server.service == second.server.service
@@ -125,35 +125,37 @@
         assert first.deadline_s == second.deadline_s
 
     async def test_removed_key(self, path):
-        """It is answered; the next one is refused."""
-        newer = desired_state(STREAMS, PLAIN, version=2, keys=("key-2",))
-        site, responder = await asked_while_changing(path, newer)
+        """It is served; the next request is rejected."""
+        newer = desired_state(STREAM_ROUTE, PLAIN_ROUTE, version=2, keys=("key-2",))
+        site, responder = await serve_during_change(path, newer)
         assert responder.end == "whole"
         assert {send.workspace for send in site.client.sends} == {"clinic"}
         with pytest.raises(UnauthorizedError):
-            await site.ask(path)
+            await site.serve(path)
 
     async def test_removed_route(self, path):
-        """It is answered; the next one is refused."""
+        """It is served; the next request is rejected."""
         newer = desired_state(call_route(path_prefix="/new/"), version=2)
-        site, responder = await asked_while_changing(path, newer)
+        site, responder = await serve_during_change(path, newer)
         assert responder.end == "whole"
         with pytest.raises(UnknownTargetError):
-            await site.ask(path)
+            await site.serve(path)
 
     async def test_removed_service(self, path):
-        """Its servers are still listed: it is answered; the next one is refused."""
-        newer = desired_state(STREAMS, PLAIN, version=2)._replace(services={})
-        site, responder = await asked_while_changing(path, newer)
+        """Its servers are still listed: it is served; the next request is rejected."""
+        newer = desired_state(STREAM_ROUTE, PLAIN_ROUTE, version=2)._replace(
+            services={}
+        )
+        site, responder = await serve_during_change(path, newer)
         assert responder.end == "whole"
         with pytest.raises(UnknownTargetError):
-            await site.ask(path)
+            await site.serve(path)
 
 
 def with_header_limit(limit_s, *, version):
-    """Return a state in which a request's head may take so long, in seconds."""
-    made = desired_state(STREAMS, PLAIN, version=version)
-    return made._replace(limits=made.limits._replace(header_timeout_s=limit_s))
+    """Return a state with a time limit for request headers, in seconds."""
+    state = desired_state(STREAM_ROUTE, PLAIN_ROUTE, version=version)
+    return state._replace(limits=state.limits._replace(header_timeout_s=limit_s))
 
 
 class TestConnection:
@@ -161,7 +163,7 @@
     async def test_changed_limit(self, limits_s, is_closed):
         """A connection keeps the limits of the state in which it was opened."""
         older, newer = limits_s
-        site = Site(None)
+        site = RouterSite(None)
         site.put_in_force(with_header_limit(older, version=2))
         (port,) = free_ports(1)
         await CallersListener(site.router).start(f"127.0.0.1:{port}")
--- a/tests/test_work_in_hand.py
+++ b/tests/test_work_in_hand.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A call's work, its digest and its refusal."""
+"""Digests, crash suspicion and quarantine of a single call."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 def work_in_hand(routing, **changes):
-    """Return a call's work."""
+    """Return a call's crash record."""
     return WorkInHand(routing, make_call(**changes), "clinic")
 
 
-def noted(routing, *lifetimes, has_begun=False):
-    """Let servers end under the sample work."""
+def record_crashes(routing, *lifetimes, has_begun=False):
+    """Record crashes of servers under the sample request."""
     work = work_in_hand(routing).id
-    for one in lifetimes:
-        routing.suspects.note(End(work, one, has_begun, "i"), now_s=clocks.now_s())
+    for lifetime in lifetimes:
+        routing.suspects.note(End(work, lifetime, has_begun, "i"), now_s=clocks.now_s())
 
 
 class TestDigest:
-    def test_no_body_is_digested_while_nothing_is_suspected(self, monkeypatch):
-        """A large body costs nothing then, and is digested once afterwards."""
-        made = []
+    def test_body_is_digested_only_if_a_trait_is_suspected(self, monkeypatch):
+        """A large body isn't digested without need, and only once otherwise."""
+        digests = []
         real = upstream.work_id
         monkeypatch.setattr(
-            upstream, "work_id", lambda **parts: made.append(1) or real(**parts)
+            upstream, "work_id", lambda **parts: digests.append(1) or real(**parts)
         )
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         work = work_in_hand(routing)
@@ -41,32 +41,32 @@
         assert work.suspected_trait is None
         assert work.held_back() is None
         work.answered()
-        assert made == []
+        assert digests == []
         routing.suspects.note(End("0" * 32, "s", False, "i"), now_s=clocks.now_s())
         for _ in range(3):
             assert not work.is_held
             assert work.held_back() is None
-        assert made == [1]
+        assert digests == [1]
 
 
-class TestHeld:
-    def test_new_attempt_is_the_same_work(self):
-        """Ids and deadlines are new each time a caller comes back."""
+class TestQuarantine:
+    def test_retry_of_a_caller_has_the_same_id(self):
+        """Ids and deadlines differ each time a caller retries."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        noted(routing, "a", "b", "c")
+        record_crashes(routing, "a", "b", "c")
         assert work_in_hand(routing, id="other", timeout_s=1.0).is_held
         assert not work_in_hand(routing, body=b"other").is_held
 
-    def test_lines_tell_nothing_of_the_body(self, capsys):
-        """The refusal's line names works, servers and witnesses."""
+    def test_error_does_not_contain_the_body(self, capsys):
+        """The error names works, servers and witnesses, but not the prompt."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        noted(routing, "a", "b", "c")
+        record_crashes(routing, "a", "b", "c")
         error = work_in_hand(routing).held_back()
         assert error.code == 1206
         assert "a menu" not in error.detail
 
-    def test_caller_with_a_young_suspected_part_comes_back_soon(self):
-        """Answers to others clear a part that was in bad company within a second."""
+    def test_short_retry_after_for_a_recently_suspected_part(self):
+        """Responses to other requests clear an innocent part within a second."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         now_s = clocks.now_s()
         for name in "abc":
@@ -77,13 +77,13 @@
         work_in_hand(routing, prompt_parts=("5c1e07a2",)).went_on()
         assert work.held_back() is None
 
-    def test_part_is_tried_by_one_request(self, monkeypatch):
-        """Once its time is over, and at one instance only."""
+    def test_only_one_trial_request_per_part(self, monkeypatch):
+        """A trial starts after the quarantine has expired, and at one instance only."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        then_s = clocks.now_s() - 40.0
+        crashed_s = clocks.now_s() - 40.0
         for name in "abc":
             end = End(prompt_part_id("5c1e07a2"), name, False, "i")
-            routing.suspects.note(end, now_s=then_s)
+            routing.suspects.note(end, now_s=crashed_s)
         first, second = (
             work_in_hand(routing, body=body, prompt_parts=("5c1e07a2",))
             for body in (b"1", b"2")
@@ -99,8 +99,8 @@
         )
         assert first.is_held
 
-    async def test_ended_server_is_put_down_to_the_work(self):
-        """Only if it refuses connections."""
+    async def test_crash_is_attributed_to_the_request(self):
+        """A crash counts only if the server refuses connections."""
         client = FakeClient()
         routing = make_routing(client, A, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(A, has_begun=False)
@@ -112,23 +112,24 @@
         work_in_hand(routing).answered()
         assert not routing.suspects
 
-    async def test_servers_that_end_together_count_once(self):
-        """A request ends one server at a time.
+    async def test_simultaneous_crashes_count_once(self):
+        """Guards against a quarantine after one failure that affects a whole path.
 
-        On two of ten days with troubles all of a path's six and seven runners ended at
-        the same moment, and the request that was there was held back for that.
+        A request crashes one server at a time.  On two of ten days with faults, all six
+        and seven runners of a path crashed at the same moment, and the request that was
+        there was quarantined for that.
         """
         runners = [runner(f"r{n}", 10 * n, 10 * n + 10) for n in range(8)]
         client = FakeClient()
-        client.refusing_ids = {one.id for one in runners}
+        client.refusing_ids = {server.id for server in runners}
         routing = make_routing(client, *runners, rng=random.Random(1))
         work = work_in_hand(routing)
         now_s = clocks.now_s()
         assert await work.lost_on_path(runners, since_s=now_s, has_begun=False)
         assert [end.lifetime for end in routing.suspects.ends(work.id)] == ["r0"]
 
-    async def test_server_that_had_ended_before_is_put_down_to_others(self):
-        """It came to a path that was broken already."""
+    async def test_earlier_crash_is_not_attributed_to_the_request(self):
+        """The request was sent along a path that was broken already."""
         client = FakeClient()
         client.refusing_ids = {"a"}
         routing = make_routing(client, A, rng=random.Random(1))
@@ -138,8 +139,8 @@
         assert await work.lost_on_path([A], since_s=since_s, has_begun=False)
         assert not routing.suspects
 
-    async def test_server_that_is_back_before_it_is_asked(self):
-        """Its new start shows that it had ended, a heartbeat later."""
+    async def test_server_restarts_before_it_is_probed(self):
+        """The restart shows the crash, a heartbeat later."""
         before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         work = work_in_hand(routing)
@@ -148,16 +149,16 @@
         routing.handle_restarts([before])
         assert [end.lifetime for end in routing.suspects.ends(work.id)] == ["a/1"]
 
-    async def test_planned_new_start_is_put_down_to_nobody(self):
-        """It had said that it leaves when it broke the rest off."""
+    async def test_planned_restart_is_not_attributed(self):
+        """The server had advertised its shutdown before it dropped the response."""
         before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(before, has_begun=False)
         routing.handle_restarts([before._replace(is_leaving=True)])
         assert not routing.suspects
 
-    async def test_new_start_long_after_is_put_down_to_nobody(self, monkeypatch):
-        """The answer that broke off then had another cause."""
+    async def test_late_restart_is_not_attributed(self, monkeypatch):
+        """The response broke off then for another reason."""
         before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(before, has_begun=False)
@@ -166,19 +167,19 @@
         routing.handle_restarts([before])
         assert not routing.suspects
 
-    def test_only_what_was_held_is_stored_again(self):
-        """A work that was in bad company twice costs no call of the store."""
-        kept = []
+    def test_only_quarantined_traits_are_stored_again(self):
+        """A suspected trait that was never quarantined costs no store call."""
+        stored = []
         for lifetimes in ("ab", "abc"):
             routing = make_routing(FakeClient(), A, rng=random.Random(1))
-            routing.store_hold = kept.append
-            noted(routing, *lifetimes)
+            routing.store_hold = stored.append
+            record_crashes(routing, *lifetimes)
             work_in_hand(routing).answered()
             assert not routing.suspects
-        assert kept == [work_in_hand(routing).id]
+        assert stored == [work_in_hand(routing).id]
 
-    def test_begun_elsewhere_is_no_suspect(self):
-        """What was well on its way goes on like the rest."""
+    def test_advanced_response_is_not_suspected(self):
+        """A request whose response was well under way at a crash continues normally."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        noted(routing, "a", has_begun=True)
+        record_crashes(routing, "a", has_begun=True)
         assert work_in_hand(routing).suspected_trait is None
