--- a/src/violethatch/_flow_control.py
+++ b/src/violethatch/_flow_control.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""What servers say of themselves, kept towards all that one instance sends.
+"""Flow control for everything that an instance sends to backend servers.
 
-Every way to a server passes here: calls, moves, orders for layers and questions for
-reports, when they are decided and once more right before they are written.  Where a
-server limits what all instances send, each of these needs a permit: it is asked for
-when the send is decided, and used up when it is written.
+Servers advertise back-offs, rate limits and shutdowns in their response headers.
+Every call, move, layer order and report query is checked against these signals when
+it is scheduled, and again right before it is written.  Sends to a server with a rate
+limit shared by all instances also need a permit, which is acquired when the send is
+scheduled and consumed when it is written.
 """
 
 from __future__ import annotations
@@ -15,53 +16,56 @@
 from typing import Any, NamedTuple
 
 from . import clocks, events
-from ._limit_enforcement import LimitGate
+from ._limit_enforcement import LimitEnforcer
 from .backends import BackendServer, BackendTable
 from .limit_permits import Permit
-from .server_backoffs import Rest, ServerBackoffs
+from .server_backoffs import Backoff, ServerBackoffs
 from .server_limits import Limit
 from .upstream import KeptBackError, Sending, ServerSignals
 
 
-#: The most servers that one line names.
-_MOST_NAMED = 20
-#: The most words that nothing reads of which a line is logged.
-_MOST_UNKNOWN = 32
+#: Maximum number of servers in one log line.
+_MAX_LOGGED_SERVERS = 20
+#: Maximum number of unknown headers that are logged.
+_MAX_LOGGED_UNKNOWN_HEADERS = 32
 
 
-class _Kept(NamedTuple):
-    """Why something is kept back, and for how much longer, in seconds."""
+class _Rejection(NamedTuple):
+    """The reason for rejecting a send, and its remaining duration in seconds."""
 
     reason: str
-    left_s: float = 0.0
-    rest: Rest | None = None
+    remaining_s: float = 0.0
+    backoff: Backoff | None = None
     limit: Limit | None = None
 
 
 class FlowController:
-    """Keeps rests and departures that servers have told this instance.
+    """Tracks the signals that servers send to this instance, and enforces them.
 
     Args:
         backends: The listed servers.
-        rng: Spreads the returns to servers that have rested.
+        rng: Adds jitter to the resumption of traffic after a back-off.
     """
 
     def __init__(self, backends: BackendTable, *, rng: random.Random) -> None:
         self._backends = backends
         self.backoffs = ServerBackoffs(rng)
-        self.limits = LimitGate(backends, rng=rng)
-        #: Words that nothing reads, of which a line was logged.
-        self._unknown: set[str] = set()
-        #: Told of each word's kind: rest, wish, leaving, limit, unread, unknown.
+        self.limits = LimitEnforcer(backends, rng=rng)
+        self._logged_unknown_headers: set[str] = set()
+        #: Called with the kind of each signal: rest, wish, leaving, limit, unread or
+        #: unknown.
         self.on_signal: Callable[[str], None] = lambda _kind: None
-        #: Told of what is kept back, and why.
-        self.on_send_rejected: Callable[[Sending, str], None] = lambda _what, _why: None
-        #: Told of a server that wishes for less, and for how long, in seconds.
+        #: Called with each rejected send and the reason.
+        self.on_send_rejected: Callable[[Sending, str], None] = (
+            lambda _sending, _reason: None
+        )
+        #: Called with a server that requests an advisory back-off, and its duration in
+        #: seconds.
         self.on_advisory_backoff: Callable[[BackendServer, float], None] = (
-            lambda _one, _s: None
+            lambda _server, _duration_s: None
         )
-        #: Told of a server that is leaving, where that is news.
-        self.on_leaving: Callable[[BackendServer], None] = lambda _one: None
+        #: Called with a server when it first reports that it is shutting down.
+        self.on_leaving: Callable[[BackendServer], None] = lambda _server: None
 
     async def admit(
         self,
@@ -71,27 +75,31 @@
         *,
         priority: int = 0,
     ) -> Permit | None:
-        """Ask for what a send to a server needs, when it is decided.
+        """Check a send when it is scheduled, and acquire a permit if it needs one.
 
         Returns:
-            The permit to send with, or None where none is needed.
+            The permit to send with, or None if none is needed.
 
         Raises:
-            KeptBackError: Nothing may be sent.
+            KeptBackError: The send is rejected.
         """
         now_s = clocks.now_s()
-        self._check(
-            self._kept(server, sending, now_s=now_s), server, sending, request_id
+        self._raise_if_rejected(
+            self._find_rejection(server, sending, now_s=now_s),
+            server,
+            sending,
+            request_id,
         )
-        limit = self._limit_of(server)
+        limit = self._active_limit(server)
         if limit is None:
             return None
-        # The limit is for all instances: each for itself would send many times as much.
-        permit = await self.limits.ask(server, limit, priority=priority)
+        # The limit is shared: if each instance used all of it, the server would get a
+        # multiple of it.
+        permit = await self.limits.acquire(server, limit, priority=priority)
         if isinstance(permit, Permit):
             return permit
-        kept = _Kept("limit", permit, limit=limit)
-        self._check(kept, server, sending, request_id)
+        rejection = _Rejection("limit", permit, limit=limit)
+        self._raise_if_rejected(rejection, server, sending, request_id)
         return None
 
     def check_send(
@@ -101,69 +109,69 @@
         request_id: str,
         permit: Permit | None = None,
     ) -> None:
-        """Check that something may be sent to a server, right before it is written.
+        """Check a send right before it is written.
 
         Raises:
-            KeptBackError: It may not.
+            KeptBackError: The send is rejected.
         """
         now_s = clocks.now_s()
-        kept = self._kept(server, sending, now_s=now_s)
-        limit = self._limit_of(server)
+        rejection = self._find_rejection(server, sending, now_s=now_s)
+        limit = self._active_limit(server)
         is_permitted = permit is not None and now_s < permit.until_s
-        if kept is None and limit is not None and not is_permitted:
-            kept = _Kept("limit", limit=limit)
-        self._check(kept, server, sending, request_id)
+        if rejection is None and limit is not None and not is_permitted:
+            rejection = _Rejection("limit", limit=limit)
+        self._raise_if_rejected(rejection, server, sending, request_id)
         if sending is Sending.CALL:
             self.backoffs.record_send(server.id, now_s=now_s)
 
     def settle(
         self, server: BackendServer, permit: Permit | None, *, was_written: bool
     ) -> None:
-        """Use a permit up, or keep it for another send if nothing was written."""
+        """Consume a permit, or keep it for another send if nothing was written."""
         self.limits.settle(server, permit, was_written=was_written)
 
-    def _check(
+    def _raise_if_rejected(
         self,
-        kept: _Kept | None,
+        rejection: _Rejection | None,
         server: BackendServer,
         sending: Sending,
         request_id: str,
     ) -> None:
-        """Count and log what keeps something back, if anything does.
+        """Count, log and raise a rejection, if there is one.
 
         Raises:
-            KeptBackError: Something does.
+            KeptBackError: The send is rejected.
         """
-        if kept is None:
+        if rejection is None:
             return
-        self.on_send_rejected(sending, kept.reason)
+        self.on_send_rejected(sending, rejection.reason)
         events.log(
             events.SEND_KEPT_BACK,
             request_id=request_id,
             server_id=server.id,
             sending=sending.value,
-            reason=kept.reason,
-            left_s=round(kept.left_s, 3),
-            said_to=kept.rest.request_id if kept.rest else None,
-            **self.limits.fields(server.id, kept.limit),
+            reason=rejection.reason,
+            left_s=round(rejection.remaining_s, 3),
+            said_to=rejection.backoff.request_id if rejection.backoff else None,
+            **self.limits.log_fields(server.id, rejection.limit),
         )
-        raise KeptBackError(kept.reason, kept.left_s)
+        raise KeptBackError(rejection.reason, rejection.remaining_s)
 
     def record_signals(
         self, server: BackendServer, signals: ServerSignals, request_id: str
     ) -> None:
-        """Take a server's word in, as soon as an answer's head is there."""
+        """Process a server's signals as soon as the response headers are received."""
         now_s = clocks.now_s()
         if signals.backoff_s is None:
             self.backoffs.record_response(server.id, now_s=now_s)
-        self._note_unknown(server, signals, request_id)
+        self._record_unknown_headers(server, signals, request_id)
         if signals.finite_limit_per_s is not None:
             self.on_signal("limit")
-        self.limits.heard(server, signals, request_id)
+        self.limits.record_signals(server, signals, request_id)
         if not signals.has_signals:
             return
-        is_longer = self._take_rest(server, signals, request_id, now_s=now_s)
-        is_news = signals.is_leaving and self._note_leaving(server, signals.sent_ms)
+        is_longer = self._apply_backoff_signal(server, signals, request_id, now_s=now_s)
+        is_new = signals.is_leaving and self._record_leaving(server, signals.sent_ms)
         if signals.invalid:
             self.on_signal("unread")
         events.log(
@@ -176,191 +184,200 @@
             is_binding=signals.is_binding,
             is_longer=is_longer,
             says_leaving=signals.is_leaving,
-            is_news=is_news,
+            is_news=is_new,
             unread=signals.invalid,
         )
 
-    def _limit_of(self, server: BackendServer) -> Limit | None:
-        """Return the limit that binds towards a server, if it has named one."""
-        return self.limits.limit_of(server.id, started_ms=server.started_ms)
+    def _active_limit(self, server: BackendServer) -> Limit | None:
+        """Return the rate limit in force for a server, if any."""
+        return self.limits.active_limit(server.id, started_ms=server.started_ms)
 
-    def _note_unknown(
-        self, server: BackendServer, word: ServerSignals, request_id: str
+    def _record_unknown_headers(
+        self, server: BackendServer, signals: ServerSignals, request_id: str
     ) -> None:
-        """Count words that nothing reads; log each once, so that it is seen early."""
-        for name in word.unknown_headers:
+        """Count unknown headers, and log each name once to reveal protocol changes."""
+        for name in signals.unknown_headers:
             self.on_signal("unknown")
-            if name in self._unknown or len(self._unknown) >= _MOST_UNKNOWN:
+            if (
+                name in self._logged_unknown_headers
+                or len(self._logged_unknown_headers) >= _MAX_LOGGED_UNKNOWN_HEADERS
+            ):
                 continue
-            self._unknown.add(name)
+            self._logged_unknown_headers.add(name)
             events.log(
                 events.WORD_UNKNOWN,
                 request_id=request_id,
                 server_id=server.id,
                 word=name,
-                status=word.status,
+                status=signals.status,
             )
 
-    def _take_rest(
+    def _apply_backoff_signal(
         self,
         server: BackendServer,
-        word: ServerSignals,
+        signals: ServerSignals,
         request_id: str,
         *,
         now_s: float,
     ) -> bool:
-        """Take in for how long a server wants nothing; tell whether that is longer."""
-        if word.backoff_s is None:
+        """Apply a requested back-off; return whether it extends a binding one."""
+        if signals.backoff_s is None:
             return False
-        if not word.is_binding:
+        if not signals.is_binding:
             self.on_signal("wish")
-            self.on_advisory_backoff(server, word.backoff_s)
+            self.on_advisory_backoff(server, signals.backoff_s)
             return False
         self.on_signal("rest")
-        return self._ask_rest(server, word, request_id, now_s=now_s)
+        return self._record_backoff(server, signals, request_id, now_s=now_s)
 
-    def _ask_rest(
+    def _record_backoff(
         self,
         server: BackendServer,
-        word: ServerSignals,
+        signals: ServerSignals,
         request_id: str,
         *,
         now_s: float,
     ) -> bool:
-        """Keep a rest that a server asks for; tell whether that is longer."""
+        """Store a binding back-off; return whether it extends the previous one."""
         return self.backoffs.record(
             server.id,
-            word.backoff_s or 0.0,
+            signals.backoff_s or 0.0,
             started_ms=server.started_ms,
-            sent_ms=word.sent_ms,
+            sent_ms=signals.sent_ms,
             request_id=request_id,
             now_s=now_s,
         )
 
     def record_forwarded_backoff(
-        self, server: BackendServer, word: ServerSignals, request_id: str
+        self, server: BackendServer, signals: ServerSignals, request_id: str
     ) -> None:
-        """Leave a later server of a path alone too, whose word the first passed on.
+        """Store the back-off of a later server on a path, relayed by the first server.
 
-        The first one has answered: it is left alone for that as well.
+        The first server sent the response, so the back-off applies to it as well.
         """
-        if word.backoff_s is not None and word.is_binding:
-            self._ask_rest(server, word, request_id, now_s=clocks.now_s())
+        if signals.backoff_s is not None and signals.is_binding:
+            self._record_backoff(server, signals, request_id, now_s=clocks.now_s())
 
-    def _note_leaving(self, server: BackendServer, sent_ms: int) -> bool:
-        """Note a server's word that it leaves; tell whether that is news."""
-        is_news = self._backends.note_leaving(
+    def _record_leaving(self, server: BackendServer, sent_ms: int) -> bool:
+        """Record that a server is shutting down; return whether that is new."""
+        is_new = self._backends.note_leaving(
             server.id, server.started_ms, sent_ms=sent_ms, now_s=clocks.now_s()
         )
-        if is_news:
+        if is_new:
             self.on_signal("leaving")
             self.on_leaving(server)
-        return is_news
+        return is_new
 
     def blocked_s(self, *, priority: int = 0, now_s: float) -> dict[str, float]:
-        """Return, by server that nothing may be sent to, for how many seconds more.
+        """Return the remaining seconds of each blocked server, by id.
 
         Args:
-            priority: Of what is to be sent; 0 is the most urgent.
+            priority: Priority of the send; 0 is the most urgent.
             now_s: The current monotonic time, in seconds.
         """
-        bound = self.limits.closed(priority=priority, now_s=now_s)
-        for server_id, left_s in self.rests(now_s=now_s).items():
-            bound[server_id] = max(left_s, bound.get(server_id, 0.0))
-        return bound
+        blocked = self.limits.blocked_s(priority=priority, now_s=now_s)
+        for server_id, remaining_s in self.active_backoffs(now_s=now_s).items():
+            blocked[server_id] = max(remaining_s, blocked.get(server_id, 0.0))
+        return blocked
 
-    def rests(self, *, now_s: float) -> dict[str, float]:
-        """Return, by server that has asked for rest, for how many seconds more."""
+    def active_backoffs(self, *, now_s: float) -> dict[str, float]:
+        """Return the remaining seconds of each active back-off, by server id."""
         return {
-            server_id: rest.until_s - now_s
-            for server_id, rest in self.backoffs.known().items()
-            if now_s < rest.until_s and self._is_its_word(server_id, rest)
+            server_id: backoff.until_s - now_s
+            for server_id, backoff in self.backoffs.entries().items()
+            if now_s < backoff.until_s and self._is_current(server_id, backoff)
         }
 
     def avoided(self, *, now_s: float) -> frozenset[str]:
-        """Return servers to send to only where there is no other, rests included."""
-        resting = frozenset(
+        """Return servers to use only as a last resort, back-offs included."""
+        backing_off = frozenset(
             server_id
-            for server_id, rest in self.backoffs.known().items()
-            if rest.is_avoided(now_s=now_s) and self._is_its_word(server_id, rest)
+            for server_id, backoff in self.backoffs.entries().items()
+            if backoff.is_avoided(now_s=now_s) and self._is_current(server_id, backoff)
         )
-        return resting | self.limits.returning(now_s=now_s)
+        return backing_off | self.limits.recovering(now_s=now_s)
 
     def min_wait_s(
         self, servers: Iterable[BackendServer], *, priority: int = 0
     ) -> float:
-        """Return when the first of some servers may be sent to, in seconds from now.
+        """Return the time until the first of some servers is unblocked, in seconds.
 
-        0 where nothing keeps that back.
+        0 if one of them is not blocked.
         """
-        bound = self.blocked_s(priority=priority, now_s=clocks.now_s())
-        return min((bound.get(one.id, 0.0) for one in servers), default=0.0)
+        blocked = self.blocked_s(priority=priority, now_s=clocks.now_s())
+        return min((blocked.get(server.id, 0.0) for server in servers), default=0.0)
 
     def log_blocked_servers(self, request_id: str, service: str) -> None:
-        """Log the rests, limits and departures that decide over a service."""
-        known = self.backoffs.known()
-        rests = [
+        """Log the back-offs, limits and shutdowns that affect a service."""
+        backoffs = self.backoffs.entries()
+        backoff_fields = [
             {
                 "server_id": server_id,
-                "left_s": round(left_s, 3),
-                "asked_s": known[server_id].asked_s,
-                "said_to": known[server_id].request_id,
+                "left_s": round(remaining_s, 3),
+                "asked_s": backoffs[server_id].asked_s,
+                "said_to": backoffs[server_id].request_id,
             }
-            for server_id, left_s in self.rests(now_s=clocks.now_s()).items()
-            if self._is_of(server_id, service)
+            for server_id, remaining_s in self.active_backoffs(
+                now_s=clocks.now_s()
+            ).items()
+            if self._belongs_to(server_id, service)
         ]
-        limits = [
-            {"server_id": server_id, **self.limits.fields(server_id, limit)}
-            for server_id, limit in self.limits.present().items()
-            if self._is_of(server_id, service)
+        limit_fields = [
+            {"server_id": server_id, **self.limits.log_fields(server_id, limit)}
+            for server_id, limit in self.limits.active_limits().items()
+            if self._belongs_to(server_id, service)
         ]
         leaving = self._backends.leaving(service)
-        if rests or limits or leaving:
+        if backoff_fields or limit_fields or leaving:
             events.log(
                 events.SERVERS_REST,
                 request_id=request_id,
                 service=service,
-                rests=rests[:_MOST_NAMED],
-                resting=len(rests),
-                limits=limits[:_MOST_NAMED],
-                limited=len(limits),
-                leaving=leaving[:_MOST_NAMED],
+                rests=backoff_fields[:_MAX_LOGGED_SERVERS],
+                resting=len(backoff_fields),
+                limits=limit_fields[:_MAX_LOGGED_SERVERS],
+                limited=len(limit_fields),
+                leaving=leaving[:_MAX_LOGGED_SERVERS],
             )
 
     def state(self) -> dict[str, Any]:
-        """Return the rests that are kept now, for a dump."""
-        rests = self.rests(now_s=clocks.now_s())
-        return {one: round(left_s, 3) for one, left_s in rests.items()}
+        """Return the active back-offs for a state dump."""
+        backoffs = self.active_backoffs(now_s=clocks.now_s())
+        return {
+            server_id: round(remaining_s, 3)
+            for server_id, remaining_s in backoffs.items()
+        }
 
-    def _is_its_word(self, server_id: str, rest: Rest) -> bool:
-        """Tell whether a rest is the word of a listed server's present start."""
+    def _is_current(self, server_id: str, backoff: Backoff) -> bool:
+        """Return whether a back-off applies to the current start of a listed server."""
         server = self._backends.get(server_id)
-        return server is not None and rest.is_of(server.started_ms)
+        return server is not None and backoff.applies_to(server.started_ms)
 
-    def _is_of(self, server_id: str, service: str) -> bool:
-        """Tell whether a listed server is a service's."""
+    def _belongs_to(self, server_id: str, service: str) -> bool:
+        """Return whether a server is listed for a service."""
         server = self._backends.get(server_id)
         return server is not None and server.service == service
 
-    def _kept(
+    def _find_rejection(
         self, server: BackendServer, sending: Sending, *, now_s: float
-    ) -> _Kept | None:
-        """Return what keeps something back from a server, or None."""
+    ) -> _Rejection | None:
+        """Return the reason to reject a send to a server, or None."""
         listed = self._backends.get(server.id)
         started_ms = (listed or server).started_ms
-        rest = self.backoffs.active(server.id, started_ms=started_ms, now_s=now_s)
-        if rest is not None:
-            return _Kept("rest", rest.until_s - now_s, rest)
+        backoff = self.backoffs.active(server.id, started_ms=started_ms, now_s=now_s)
+        if backoff is not None:
+            return _Rejection("rest", backoff.until_s - now_s, backoff)
         if sending is Sending.REPORT:
-            return None  # a question whether it is there, which is no work
+            return None  # a liveness query adds no load
         if listed is None:
-            # It may serve on for a while, and finish what it has.
-            return _Kept("gone") if sending is not Sending.MOVE else None
+            # An unlisted server may still be running, and completes its requests.
+            return _Rejection("gone") if sending is not Sending.MOVE else None
         if not listed.is_leaving:
             return None
         if sending is Sending.MOVE:
-            # It finishes what it has, for as long as work for it has to be there.
+            # A server that is shutting down completes its requests, and accepts moves
+            # for them until the grace period ends.
             leaving_s = self._backends.leaving_for_s(server.id, now_s=now_s)
             is_over = leaving_s >= self._backends.leaving_s
-            return _Kept("leaving") if is_over else None
-        return _Kept("leaving")
+            return _Rejection("leaving") if is_over else None
+        return _Rejection("leaving")
--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Asks runners that were silent or slow how they are, before requests find out."""
+"""Probes unresponsive and slow runners, so that requests don't have to test them."""
 
 from __future__ import annotations
 
@@ -13,94 +13,103 @@
 from .backends import BackendServer
 
 
-#: How often to look whose rest ends, in seconds.
-_LOOK_S = 0.2
-#: How often a resting runner is asked, in seconds, times the instances beyond eight:
-#: probes are priced, and one that is back is used by the others meanwhile.
-_ASK_S = 0.8
-_FEW_INSTANCES = 8
-#: How long before a rest's end the runner is asked in any case, in seconds: a look,
-#: and the time that a report may take.
-_BEFORE_END_S = 0.45
-#: How long to wait for a report, in seconds.
-_WAIT_S = 0.25
+#: Interval between checks for due probes, in seconds.
+_CHECK_INTERVAL_S = 0.2
+#: Interval between probes of a runner in cooldown, in seconds.  It grows in proportion
+#: to the instances above `_UNSCALED_INSTANCES`: probes have a cost, and the other
+#: instances use a recovered runner in the meantime.
+_PROBE_INTERVAL_S = 0.8
+_UNSCALED_INSTANCES = 8
+#: Time before the end of a cooldown at which a runner is always probed, in seconds: one
+#: check interval plus the report timeout.
+_PROBE_LEAD_S = 0.45
+#: Timeout of a report, in seconds.
+_REPORT_TIMEOUT_S = 0.25
 
 
 class HealthCheckLoop:
-    """Ends the rests of runners that answer again, and prolongs the others.
+    """Ends the cooldown of runners that respond again, and extends the others.
 
     Args:
-        routing: Knows who rests, and who is slow.
-        rng: Decides which of many instances asks.
+        routing: Provides the runners in cooldown and the slow ones.
+        rng: Selects which of many instances probes a slow runner.
     """
 
     def __init__(self, routing: Routing, *, rng: random.Random) -> None:
         self._routing = routing
         self._rng = rng
-        #: By runner that rests, when it was last asked, or found to rest.
-        self._asked_s: dict[str, float] = {}
+        #: Time of the last probe of each runner in cooldown, or of its first check.
+        self._probed_at_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Look after rests, until cancelled."""
+        """Run checks until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            await self.look()
+            await asyncio.sleep(_CHECK_INTERVAL_S)
+            await self.check()
 
-    async def look(self) -> None:
-        """Ask the runners whose rests end soon, and the slow ones."""
-        due = self._due()
-        slow = self._slow()
+    async def check(self) -> None:
+        """Probe the runners whose cooldown is about to expire, and the slow ones."""
+        due = self._due_silent()
+        slow = self._due_slow()
         if slow:
-            await self._routing.probes.look(slow, within_s=_WAIT_S)
+            await self._routing.probes.look(slow, within_s=_REPORT_TIMEOUT_S)
         if not due:
             return
-        found = await self._routing.probes.look(due, within_s=_WAIT_S)
+        findings = await self._routing.probes.look(due, within_s=_REPORT_TIMEOUT_S)
         now_s = clocks.now_s()
-        for server in (*found.silent, *found.pending):
+        for server in (*findings.silent, *findings.pending):
             self._routing.health.prolong(server.id, now_s=now_s)
-        for server_id in found.reports:
+        for server_id in findings.reports:
             self._routing.health.worked(server_id)
-        if found.reports:
-            events.log(events.SERVERS_BACK, server_ids=sorted(found.reports))
+        if findings.reports:
+            events.log(events.SERVERS_BACK, server_ids=sorted(findings.reports))
 
-    def _due(self) -> list[BackendServer]:
-        """Return the runners that were silent and are to be asked now.
+    def _due_silent(self) -> list[BackendServer]:
+        """Return the unresponsive runners that are due for a probe.
 
-        Servers of plain services give no reports.
+        Servers of plain services provide no reports.
         """
         now_s = clocks.now_s()
         silent = self._routing.health.silent(now_s=now_s)
-        self._asked_s = {
-            one: asked_s for one, asked_s in self._asked_s.items() if one in silent
+        self._probed_at_s = {
+            server_id: probed_at_s
+            for server_id, probed_at_s in self._probed_at_s.items()
+            if server_id in silent
         }
-        ids = [
-            one for one, left_s in silent.items() if self._is_due(one, left_s, now_s)
+        server_ids = [
+            server_id
+            for server_id, remaining_s in silent.items()
+            if self._is_due(server_id, remaining_s, now_s)
         ]
-        due = self._known(ids)
-        self._asked_s |= {one.id: now_s for one in due}
+        due = self._listed_runners(server_ids)
+        self._probed_at_s |= {server.id: now_s for server in due}
         return due
 
-    def _slow(self) -> list[BackendServer]:
-        """Return the slow runners that are to be asked again."""
+    def _due_slow(self) -> list[BackendServer]:
+        """Return the slow runners that are due for a probe."""
         routing = self._routing
-        ids = routing.paces.due(
+        server_ids = routing.paces.due(
             instances=routing.instances(), rng=self._rng, now_s=clocks.now_s()
         )
-        return self._known(ids)
+        return self._listed_runners(server_ids)
 
-    def _known(self, ids: Iterable[str]) -> list[BackendServer]:
-        """Return the runners with some ids that are listed."""
-        known = [self._routing.backends.get(one) for one in ids]
+    def _listed_runners(self, server_ids: Iterable[str]) -> list[BackendServer]:
+        """Return the listed runners with some ids, unless their service is cut off."""
+        servers = [self._routing.backends.get(server_id) for server_id in server_ids]
         lost = self._routing.link_watch.links.lost()
         return [
-            one
-            for one in known
-            if one is not None and one.kind and one.service not in lost
+            server
+            for server in servers
+            if server is not None and server.kind and server.service not in lost
         ]
 
-    def _is_due(self, server_id: str, left_s: float, now_s: float) -> bool:
-        """Tell whether a resting runner is to be asked now."""
-        asked_s = self._asked_s.setdefault(server_id, now_s)
-        pause_s = _ASK_S * max(1.0, self._routing.instances() / _FEW_INSTANCES)
-        is_ending = left_s < _BEFORE_END_S and now_s - asked_s > _BEFORE_END_S
-        return is_ending or now_s - asked_s >= pause_s
+    def _is_due(self, server_id: str, remaining_s: float, now_s: float) -> bool:
+        """Return whether a runner in cooldown is due for a probe."""
+        probed_at_s = self._probed_at_s.setdefault(server_id, now_s)
+        interval_s = _PROBE_INTERVAL_S * max(
+            1.0, self._routing.instances() / _UNSCALED_INSTANCES
+        )
+        is_expiring = (
+            remaining_s < _PROBE_LEAD_S and now_s - probed_at_s > _PROBE_LEAD_S
+        )
+        return is_expiring or now_s - probed_at_s >= interval_s
--- a/src/violethatch/_limit_link.py
+++ b/src/violethatch/_limit_link.py
@@ -1,12 +1,13 @@
 # SPDX-License-Identifier: MIT
-"""Limits of servers between instances: who has heard of one, and who counts for all.
-
-A server's *keeper* gives the permits for it (`limit_permits`).  Everybody works out by
-the list of instances who that is, so that nothing is agreed.  It is one of the server's
-own zone: who is cut off from that zone reaches the server no more than its keeper.
-Whoever is asked and takes another one for the keeper asks that one in turn, so that
-lists which differ for a moment end at one keeper.  One that doesn't answer is passed
-over for a while; where none answers, an instance gives itself an equal part.
+"""Distributes rate limits between instances, and requests and issues permits.
+
+A server's *issuer* issues the permits for it (`limit_permits`).  Each instance derives
+the issuer from the instance list, without an agreement protocol.  It is an instance in
+the server's own zone: an instance that is partitioned from that zone can reach neither
+the server nor the issuer.  An instance that receives a request for a permit, but
+considers another one the issuer, forwards the request, so that instances with different
+lists still use the same issuer.  An issuer that doesn't reply is excluded for a while;
+if no candidate replies, an instance issues an equal part of the limit to itself.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from typing import Any, NamedTuple
 
 from . import clocks, events, running_time
-from ._limit_enforcement import LimitGate
+from ._limit_enforcement import LimitEnforcer
 from ._listed import lifetime_name, server_and_start
 from ._peer_datagrams import (
     LimitDatagram,
@@ -31,52 +32,52 @@
 )
 from .backends import BackendServer
 from .instances import InstanceEntry
-from .limit_permits import GIVEN, WINDOW_S, PermitReply
+from .limit_permits import GRANTED, WINDOW_S, PermitReply
 from .membership import rendezvous
 from .server_limits import Limit
 
 
-#: How long a keeper's answer is waited for, in seconds: ways there and back between
-#: regions, and another one if it has to be asked for.  The request waits for it.
-_ANSWER_S = 0.06
-#: The same for who asks on behalf of another, who waits longer.
-_PASSED_ON_S = 0.03
-#: How often a request asks where it gets no answer: a datagram may be lost.
-_TRIES = 2
-#: A wait that ended so much later than it should, in seconds, says that the instance
-#: itself was held up: the keeper may have answered, and others ask it on.
-_HELD_UP_S = 0.02
-#: How many questions in a row go without an answer before a keeper is passed over, and
-#: for how long, in seconds.  Who takes its place doesn't know what it has given, so
-#: that losses alone must not come to that: one in ten lost does once in 20,000 times.
-_MOST_MISSED = 6
-_PASSED_OVER_S = 5.0
-#: How many instances are taken for the keeper, one after the other.
-_CANDIDATES = 3
-#: The most questions for one server that wait for answers; the rest goes elsewhere.
-_MOST_ASKED = 8
-#: When to ask again where there was no answer, in seconds.
-_NO_ANSWER_S = 0.1
-#: How often to look for instances that have come, in seconds: within one all are to
-#: keep to a limit.
-_LOOK_S = 0.5
-#: Words that may be told to all in a second: with 350 instances of some 90 bytes each
-#: 60 KB in a second in which two limits change.
-_MOST_TOLD_A_S = 2
-#: After how long a word goes out again, in seconds: later than a burst of losses, and
-#: early enough that all know within a second.
-_AGAIN_S = 0.4
+#: Timeout of a reply, in seconds: a round trip between regions, and another one if the
+#: request is forwarded.  The caller's request is delayed by it.
+_REPLY_TIMEOUT_S = 0.06
+#: Timeout of a forwarded request, in seconds; the original requester waits longer.
+_FORWARDED_REPLY_TIMEOUT_S = 0.03
+#: Number of attempts for a request without a reply: datagrams may be lost.
+_MAX_ATTEMPTS = 2
+#: Maximum delay of a timeout, in seconds.  After a longer one this instance itself was
+#: stalled: the issuer may have replied, and other instances still use it.
+_MAX_TIMER_DELAY_S = 0.02
+#: Number of consecutive requests without a reply after which an issuer is excluded, and
+#: for how long, in seconds.  Its successor doesn't know which permits it has issued, so
+#: packet loss alone must not cause that: at a loss of 10% it does once in 20,000 times.
+_MAX_MISSED_REPLIES = 6
+_ISSUER_COOLDOWN_S = 5.0
+#: Number of candidates for a server's issuer, in order of preference.
+_CANDIDATE_COUNT = 3
+#: Maximum number of pending requests for one server; others use another server.
+_MAX_PENDING_PER_SERVER = 8
+#: Retry delay after a request without a reply, in seconds.
+_NO_REPLY_DELAY_S = 0.1
+#: Interval between checks for new instances, in seconds: all instances must enforce a
+#: limit within one second.
+_POLL_INTERVAL_S = 0.5
+#: Maximum number of broadcasts a second: with 350 instances and about 90 bytes for
+#: each, 60 KB in a second in which two limits change.
+_MAX_BROADCASTS_PER_S = 2
+#: Delay before a broadcast is repeated, in seconds: longer than a burst of packet loss,
+#: and short enough that all instances are notified within a second.
+_REBROADCAST_DELAY_S = 0.4
 _MS_PER_S = 1000
-#: The least urgent priority that is told.
-_LAST_PRIORITY = 9
-#: The answer to who asks and is the keeper by the list of who is asked.
-_YOURS = PermitReply(is_granted=False, wait_s=-1.0)
-#: The longest time ago that is told: what is older is as old as that.
-_LONGEST_AGO_MS = 2**31 - 1
+#: The lowest priority in a datagram.
+_LOWEST_PRIORITY = 9
+#: Reply to a requester that is itself the issuer in the list of the recipient.
+_REQUESTER_IS_ISSUER = PermitReply(is_granted=False, wait_s=-1.0)
+#: Maximum age in a datagram; higher ages are clamped.
+_MAX_AGE_MS = 2**31 - 1
 
 
-class _List(NamedTuple):
-    """The instances of one revision, and by server and zone who may keep permits."""
+class _InstanceView(NamedTuple):
+    """The instances of one list revision, and the issuer candidates by server, zone."""
 
     revision: int
     entries: Mapping[str, InstanceEntry]
@@ -84,108 +85,112 @@
 
 
 class LimitLink:
-    """Asks keepers for permits, gives them, and tells of limits.
+    """Requests and issues permits, and broadcasts rate limits.
 
     Args:
-        datagrams: Carries what is said.
-        gate: Knows the limits.
-        rng: Numbers the questions.
-        is_leaving: Tells whether this instance is to end, and keeps nothing any more.
+        datagrams: Transport between instances.
+        limits: The known limits.
+        rng: Selects the first request number.
+        is_leaving: Returns whether this instance is shutting down, and issues no more
+            permits.
     """
 
     def __init__(
         self,
         datagrams: PeerDatagrams,
-        gate: LimitGate,
+        limits: LimitEnforcer,
         *,
         rng: random.Random,
         is_leaving: Callable[[], bool] = lambda: False,
     ) -> None:
         self._datagrams = datagrams
         self._directory = datagrams.directory
-        self._gate = gate
+        self._limits = limits
         self._is_leaving = is_leaving
         self._numbers = itertools.count(rng.getrandbits(30))
-        #: By question, whom it went to and who waits for the answer.
-        self._asked: dict[int, tuple[str, asyncio.Future[PermitReply]]] = {}
-        #: By server, how many questions wait.
-        self._waiting: dict[str, int] = {}
-        #: By instance, how many questions in a row it has not answered, and since when.
-        self._missed: dict[str, tuple[int, float]] = {}
-        self._passed_over_until_s: dict[str, float] = {}
-        self._list = _List(-1, {}, {})
+        #: By request number: the recipient, and the future for its reply.
+        self._pending: dict[int, tuple[str, asyncio.Future[PermitReply]]] = {}
+        #: By server id: the number of pending requests.
+        self._pending_by_server: dict[str, int] = {}
+        #: By instance id: the number of consecutive requests without a reply, and the
+        #: time of the last one.
+        self._missed_replies: dict[str, tuple[int, float]] = {}
+        self._excluded_until_s: dict[str, float] = {}
+        self._view = _InstanceView(-1, {}, {})
         self._started_s = clocks.now_s()
-        #: Servers whose permits fall to this instance, which it leaves to the next one.
-        self._left_to_next: set[str] = set()
+        #: Servers whose issuer would be this instance, but is the next candidate.
+        self._delegated: set[str] = set()
         self._known_ids: set[str] = set()
-        self._allowance = SendAllowance(most_a_second=_MOST_TOLD_A_S)
+        self._broadcast_budget = SendAllowance(most_a_second=_MAX_BROADCASTS_PER_S)
         self._tasks: set[asyncio.Task[None]] = set()
-        datagrams.on(LimitDatagram, self._take_limit)
-        datagrams.on(PermitAskDatagram, self._take_question)
-        datagrams.on(PermitDatagram, self._take_permit)
+        datagrams.on(LimitDatagram, self._on_limit)
+        datagrams.on(PermitAskDatagram, self._on_permit_request)
+        datagrams.on(PermitDatagram, self._on_permit_reply)
 
     async def run(self) -> None:
-        """Tell instances that have come of the limits kept here, until cancelled."""
+        """Announce limits to new instances until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            self._tell_newcomers()
-            self._left_to_next = {
-                one for one in self._left_to_next if self._gate.limit_of(one)
+            await asyncio.sleep(_POLL_INTERVAL_S)
+            self._announce_to_new_instances()
+            self._delegated = {
+                server_id
+                for server_id in self._delegated
+                if self._limits.active_limit(server_id)
             }
 
     async def request_permit(
         self, server: BackendServer, limit: Limit, priority: int
     ) -> PermitReply:
-        """Ask for a permit to send to a server; at the most some moments.
+        """Request a permit to send to a server, within a short timeout.
 
         Args:
-            server: Whom something is to be sent to.
-            limit: What is known of its limit.
-            priority: Of what is to be sent; 0 is the most urgent.
+            server: The recipient of the send.
+            limit: The known limit of the server.
+            priority: Priority of the send; 0 is the most urgent.
         """
-        waiting = self._waiting.get(server.id, 0)
-        if waiting >= _MOST_ASKED:
-            return PermitReply(is_granted=False, wait_s=_ANSWER_S)
-        self._waiting[server.id] = waiting + 1
+        pending = self._pending_by_server.get(server.id, 0)
+        if pending >= _MAX_PENDING_PER_SERVER:
+            return PermitReply(is_granted=False, wait_s=_REPLY_TIMEOUT_S)
+        self._pending_by_server[server.id] = pending + 1
         try:
-            return await self._ask(server, limit, priority)
+            return await self._request(server, limit, priority)
         finally:
-            self._waiting[server.id] -= 1
-            if not self._waiting[server.id]:
-                del self._waiting[server.id]
+            self._pending_by_server[server.id] -= 1
+            if not self._pending_by_server[server.id]:
+                del self._pending_by_server[server.id]
 
     def announce(self, server_id: str, limit: Limit) -> None:
-        """Tell of a word that this instance has heard from the server."""
-        keeper = self._keeper(server_id)
-        if keeper is None:
-            self._tell_all(server_id, limit)
+        """Announce a limit that this instance has received from the server."""
+        issuer = self._issuer(server_id)
+        if issuer is None:
+            self._broadcast(server_id, limit)
         else:
-            self._send_limit(keeper, server_id, limit, is_for_all=True)
+            self._send_limit(issuer, server_id, limit, is_for_all=True)
 
-    async def _ask(
+    async def _request(
         self, server: BackendServer, limit: Limit, priority: int
     ) -> PermitReply:
-        """Ask the keeper, and the next one if that gives no answer."""
+        """Request a permit from the issuer, or from its successor without a reply."""
         own_id = self._directory.own.id
-        for _ in range(_TRIES):
-            keeper = self._keeper(server.id)
-            if keeper is None:
-                return self._give(server.id, own_id, limit, priority)
-            reply = await self._ask_keeper(
-                keeper,
+        for _ in range(_MAX_ATTEMPTS):
+            issuer = self._issuer(server.id)
+            if issuer is None:
+                return self._issue(server.id, own_id, limit, priority)
+            reply = await self._request_from(
+                issuer,
                 server.id,
                 limit,
                 priority,
-                is_passed_on=self._has_resigned(server.id, keeper),
+                is_forwarded=self._has_delegated_to(server.id, issuer),
             )
-            if reply is _YOURS:
-                return self._give(server.id, own_id, limit, priority)
+            if reply is _REQUESTER_IS_ISSUER:
+                return self._issue(server.id, own_id, limit, priority)
             if reply is not None:
                 return reply
-        return PermitReply(is_granted=False, wait_s=_NO_ANSWER_S)
+        return PermitReply(is_granted=False, wait_s=_NO_REPLY_DELAY_S)
 
-    def _keeper(self, server_id: str) -> InstanceEntry | None:
-        """Return who keeps a server's permits; None for this instance."""
+    def _issuer(self, server_id: str) -> InstanceEntry | None:
+        """Return the issuer of a server's permits; None for this instance."""
         if not self._datagrams.is_open:
             return None
         own_id = self._directory.own.id
@@ -193,209 +198,219 @@
         now_s = clocks.now_s()
         for candidate in self._candidates(server_id):
             if candidate == own_id:
-                if self._may_keep(server_id, now_s=now_s):
+                if self._may_issue(server_id, now_s=now_s):
                     return None
-            elif now_s >= self._passed_over_until_s.get(candidate, 0.0):
+            elif now_s >= self._excluded_until_s.get(candidate, 0.0):
                 return entries[candidate]
         return None
 
-    def _may_keep(self, server_id: str, *, now_s: float) -> bool:
-        """Tell whether this instance keeps permits that fall to it.
+    def _may_issue(self, server_id: str, *, now_s: float) -> bool:
+        """Return whether this instance issues the permits that it is selected for.
 
-        Who has just started, or is about to end, leaves them to the next one: others'
-        lists don't tell it yet, or no longer.  It does so until the limit is over:
-        whoever takes over doesn't know what was given.
+        An instance that has just started or is shutting down delegates them to the next
+        candidate: the lists of other instances don't contain it yet, or no longer.  It
+        does so until the limit is lifted, as a new issuer doesn't know which permits
+        were issued.
         """
         if now_s - self._started_s < WINDOW_S or self._is_leaving():
-            self._left_to_next.add(server_id)
-        elif self._gate.limit_of(server_id) is None:
-            self._left_to_next.discard(server_id)
-        return server_id not in self._left_to_next
+            self._delegated.add(server_id)
+        elif self._limits.active_limit(server_id) is None:
+            self._delegated.discard(server_id)
+        return server_id not in self._delegated
 
-    def _has_resigned(self, server_id: str, keeper: InstanceEntry) -> bool:
-        """Tell whether this instance leaves a server's permits to the keeper.
+    def _has_delegated_to(self, server_id: str, issuer: InstanceEntry) -> bool:
+        """Return whether this instance has delegated a server's permits to the issuer.
 
-        That one then keeps them, whomever it takes for the keeper: else two that both
-        have just started would each point to the other.
+        That instance then issues them, whatever it considers the issuer: otherwise two
+        instances that have both just started would forward to each other.
         """
         candidates = self._candidates(server_id)
         own_id = self._directory.own.id
         if own_id not in candidates:
             return False
-        return candidates.index(own_id) < candidates.index(keeper.id)
+        return candidates.index(own_id) < candidates.index(issuer.id)
 
     def _entries(self) -> Mapping[str, InstanceEntry]:
-        """Return all instances, this one included, by id."""
-        if self._list.revision != self._directory.revision:
+        """Return all instances by id, including this one."""
+        if self._view.revision != self._directory.revision:
             own = self._directory.own
-            entries = {one.id: one for one in self._directory.others()}
-            self._list = _List(self._directory.revision, entries | {own.id: own}, {})
-        return self._list.entries
+            entries = {entry.id: entry for entry in self._directory.others()}
+            self._view = _InstanceView(
+                self._directory.revision, entries | {own.id: own}, {}
+            )
+        return self._view.entries
 
     def _candidates(self, server_id: str) -> Sequence[str]:
-        """Return who may keep a server's permits, in turn."""
+        """Return the candidates for a server's issuer, in order of preference."""
         entries = self._entries()
-        zone = self._gate.zone_of(server_id)
-        known = self._list.candidates.get((server_id, zone))
-        if known is None:
-            near = [one.id for one in entries.values() if one.availability_zone == zone]
-            known = rendezvous(server_id, near or entries, count=_CANDIDATES)
-            self._list.candidates[server_id, zone] = known
-        return known
+        zone = self._limits.zone_of(server_id)
+        candidates = self._view.candidates.get((server_id, zone))
+        if candidates is None:
+            zone_ids = [
+                entry.id
+                for entry in entries.values()
+                if entry.availability_zone == zone
+            ]
+            candidates = rendezvous(
+                server_id, zone_ids or entries, count=_CANDIDATE_COUNT
+            )
+            self._view.candidates[server_id, zone] = candidates
+        return candidates
 
-    def _give(
-        self, server_id: str, asker: str, limit: Limit, priority: int
+    def _issue(
+        self, server_id: str, requester: str, limit: Limit, priority: int
     ) -> PermitReply:
-        """Give a permit of those that this instance keeps."""
-        part = 1.0
+        """Issue a permit as the issuer, or refuse it."""
+        fraction = 1.0
         if self._directory.own.id not in self._candidates(server_id):
-            # Nobody who may keep them answers: each instance has its part.
-            part = 1.0 / len(self._entries())
-        return self._gate.give(server_id, asker, part * limit.per_s, priority=priority)
+            # No candidate replies: each instance uses an equal part of the limit.
+            fraction = 1.0 / len(self._entries())
+        return self._limits.issue(
+            server_id, requester, fraction * limit.per_s, priority=priority
+        )
 
-    async def _ask_keeper(
+    async def _request_from(
         self,
-        keeper: InstanceEntry,
+        issuer: InstanceEntry,
         server_id: str,
         limit: Limit,
         priority: int,
         *,
-        is_passed_on: bool = False,
+        is_forwarded: bool = False,
     ) -> PermitReply | None:
-        """Return a keeper's answer, or None if none came in time."""
+        """Return the issuer's reply, or None after a timeout."""
         number = next(self._numbers)
-        answer: asyncio.Future[PermitReply]
-        answer = asyncio.get_running_loop().create_future()
-        self._asked[number] = (keeper.id, answer)
+        future: asyncio.Future[PermitReply]
+        future = asyncio.get_running_loop().create_future()
+        self._pending[number] = (issuer.id, future)
         now_s = clocks.now_s()
         message = PermitAskDatagram(
-            token=keeper.token,
+            token=issuer.token,
             sender=self._directory.own.id,
             number=number,
             lifetime=lifetime_name(server_id, limit.started_ms),
             limit_a_s=limit.per_s,
-            sent_ago_ms=_ago_ms(limit.sent_s, now_s),
-            heard_ago_ms=_ago_ms(limit.heard_s, now_s),
-            priority=min(_LAST_PRIORITY, max(0, priority)),
-            is_passed_on=is_passed_on,
+            sent_ago_ms=_age_ms(limit.sent_s, now_s),
+            heard_ago_ms=_age_ms(limit.received_s, now_s),
+            priority=min(_LOWEST_PRIORITY, max(0, priority)),
+            is_passed_on=is_forwarded,
         )
-        self._datagrams.send(keeper, message)
-        limit_s = _PASSED_ON_S if is_passed_on else _ANSWER_S
+        self._datagrams.send(issuer, message)
+        timeout_s = _FORWARDED_REPLY_TIMEOUT_S if is_forwarded else _REPLY_TIMEOUT_S
         try:
-            async with running_time.timeout(limit_s):
-                reply = await answer
+            async with running_time.timeout(timeout_s):
+                reply = await future
         except TimeoutError:
-            if clocks.now_s() - now_s < limit_s + _HELD_UP_S:
-                self._note_missed(keeper.id)
+            if clocks.now_s() - now_s < timeout_s + _MAX_TIMER_DELAY_S:
+                self._record_missed_reply(issuer.id)
             return None
         finally:
-            del self._asked[number]
-        self._missed.pop(keeper.id, None)
+            del self._pending[number]
+        self._missed_replies.pop(issuer.id, None)
         return reply
 
-    def _note_missed(self, keeper_id: str) -> None:
-        """Pass an instance over that has given no answer several times.
+    def _record_missed_reply(self, issuer_id: str) -> None:
+        """Record a request without a reply; exclude the issuer after several.
 
-        Questions that wait at the same time are one: the keeper may have stood still
-        for a moment.
+        Concurrent requests count as one: the issuer may have been stalled for a moment.
         """
         now_s = clocks.now_s()
-        before, noted_s = self._missed.get(keeper_id, (0, -math.inf))
-        if now_s - noted_s < _ANSWER_S:
+        previous, recorded_s = self._missed_replies.get(issuer_id, (0, -math.inf))
+        if now_s - recorded_s < _REPLY_TIMEOUT_S:
             return
-        missed = before + 1
-        self._missed[keeper_id] = (missed, now_s)
-        if missed < _MOST_MISSED:
+        missed = previous + 1
+        self._missed_replies[issuer_id] = (missed, now_s)
+        if missed < _MAX_MISSED_REPLIES:
             return
-        self._passed_over_until_s[keeper_id] = now_s + _PASSED_OVER_S
-        events.log(events.KEEPER_SILENT, instance_id=keeper_id, missed=missed)
+        self._excluded_until_s[issuer_id] = now_s + _ISSUER_COOLDOWN_S
+        events.log(events.KEEPER_SILENT, instance_id=issuer_id, missed=missed)
 
-    def _take_question(self, message: PermitAskDatagram) -> None:
-        """Give another instance a permit, or ask the keeper for it."""
-        asker = self._entries().get(message.sender)
-        if asker is None:
+    def _on_permit_request(self, message: PermitAskDatagram) -> None:
+        """Reply to another instance's request, or forward it to the issuer."""
+        requester = self._entries().get(message.sender)
+        if requester is None:
             return  # its entry is not known here yet
-        server_id, limit = _heard_limit(message, message.limit_a_s)
-        if self._gate.take(server_id, limit) and self._keeper(server_id) is None:
-            self._tell_all(server_id, limit, but=message.sender)
-        known = self._gate.limit_of(server_id, started_ms=limit.started_ms)
+        server_id, limit = _reported_limit(message, message.limit_a_s)
+        if self._limits.update(server_id, limit) and self._issuer(server_id) is None:
+            self._broadcast(server_id, limit, exclude=message.sender)
+        known = self._limits.active_limit(server_id, started_ms=limit.started_ms)
         if known is None:
-            self._answer(asker, message.number, GIVEN)
-            latest = self._gate.known.latest(server_id)
+            self._reply(requester, message.number, GRANTED)
+            latest = self._limits.server_limits.latest(server_id)
             if latest is not None and latest.is_lifted:
-                self._send_limit(asker, server_id, latest)
+                self._send_limit(requester, server_id, latest)
             return
-        keeper = None if message.is_passed_on else self._keeper(server_id)
-        if keeper is None:
-            reply = self._give(server_id, asker.id, known, message.priority)
-            self._answer(asker, message.number, reply)
-        elif keeper.id == asker.id:
-            self._answer(asker, message.number, _YOURS)
+        issuer = None if message.is_passed_on else self._issuer(server_id)
+        if issuer is None:
+            reply = self._issue(server_id, requester.id, known, message.priority)
+            self._reply(requester, message.number, reply)
+        elif issuer.id == requester.id:
+            self._reply(requester, message.number, _REQUESTER_IS_ISSUER)
         else:
-            self._start(self._pass_on(asker, message, keeper, server_id, known))
+            self._spawn(self._forward(requester, message, issuer, server_id, known))
 
-    async def _pass_on(
+    async def _forward(
         self,
-        asker: InstanceEntry,
+        requester: InstanceEntry,
         message: PermitAskDatagram,
-        keeper: InstanceEntry,
+        issuer: InstanceEntry,
         server_id: str,
         limit: Limit,
     ) -> None:
-        """Ask the keeper for another instance, and answer that one."""
-        reply = await self._ask_keeper(
-            keeper, server_id, limit, message.priority, is_passed_on=True
+        """Forward a request to the issuer, and its reply to the requester."""
+        reply = await self._request_from(
+            issuer, server_id, limit, message.priority, is_forwarded=True
         )
         if reply is not None:
-            self._answer(asker, message.number, reply)
+            self._reply(requester, message.number, reply)
 
-    def _answer(self, asker: InstanceEntry, number: int, reply: PermitReply) -> None:
-        """Answer a question."""
+    def _reply(self, requester: InstanceEntry, number: int, reply: PermitReply) -> None:
+        """Send a reply."""
         message = PermitDatagram(
-            token=asker.token,
+            token=requester.token,
             sender=self._directory.own.id,
             number=number,
             is_given=reply.is_granted,
             wait_ms=max(0, math.ceil(reply.wait_s * _MS_PER_S)),
-            is_yours=reply is _YOURS,
+            is_yours=reply is _REQUESTER_IS_ISSUER,
         )
-        self._datagrams.send(asker, message)
+        self._datagrams.send(requester, message)
 
-    def _take_permit(self, message: PermitDatagram) -> None:
-        """Take an answer in, once and from who was asked."""
-        asked, answer = self._asked.get(message.number, ("", None))
-        if answer is None or asked != message.sender or answer.done():
-            return  # too late, or a datagram that came twice
+    def _on_permit_reply(self, message: PermitDatagram) -> None:
+        """Process a reply, once and only from the recipient of the request."""
+        recipient, future = self._pending.get(message.number, ("", None))
+        if future is None or recipient != message.sender or future.done():
+            return  # late or duplicated
         reply = PermitReply(message.is_given, message.wait_ms / _MS_PER_S)
-        answer.set_result(_YOURS if message.is_yours else reply)
-
-    def _take_limit(self, message: LimitDatagram) -> None:
-        """Take a word in that another instance has heard."""
-        server_id, limit = _heard_limit(message, message.limit_a_s)
-        is_news = self._gate.take(server_id, limit)
-        if is_news and message.is_for_all:
-            self._tell_all(server_id, limit, but=message.sender)
-
-    def _tell_all(self, server_id: str, limit: Limit, *, but: str = "") -> None:
-        """Tell all other instances of a word, now and once more."""
-        if not self._allowance.take():
-            return  # they hear of it from the server, or where they ask for a permit
-        peers = [one for one in self._directory.others() if one.id != but]
-        self._tell(peers, server_id, limit)
+        future.set_result(_REQUESTER_IS_ISSUER if message.is_yours else reply)
+
+    def _on_limit(self, message: LimitDatagram) -> None:
+        """Process a limit that another instance has received."""
+        server_id, limit = _reported_limit(message, message.limit_a_s)
+        is_new = self._limits.update(server_id, limit)
+        if is_new and message.is_for_all:
+            self._broadcast(server_id, limit, exclude=message.sender)
+
+    def _broadcast(self, server_id: str, limit: Limit, *, exclude: str = "") -> None:
+        """Send a limit to all other instances, and repeat it once."""
+        if not self._broadcast_budget.take():
+            return  # they get it from the server, or when they request a permit
+        peers = [peer for peer in self._directory.others() if peer.id != exclude]
+        self._send_to_peers(peers, server_id, limit)
         asyncio.get_running_loop().call_later(
-            _AGAIN_S, self._tell_again, peers, server_id
+            _REBROADCAST_DELAY_S, self._rebroadcast, peers, server_id
         )
 
-    def _tell_again(self, peers: Sequence[InstanceEntry], server_id: str) -> None:
-        """Tell some instances once more, of what is the latest word by now."""
-        latest = self._gate.known.latest(server_id)
+    def _rebroadcast(self, peers: Sequence[InstanceEntry], server_id: str) -> None:
+        """Send the limit that is now the latest to some instances."""
+        latest = self._limits.server_limits.latest(server_id)
         if latest is not None:
-            self._tell(peers, server_id, latest)
+            self._send_to_peers(peers, server_id, latest)
 
-    def _tell(
+    def _send_to_peers(
         self, peers: Iterable[InstanceEntry], server_id: str, limit: Limit
     ) -> None:
-        """Tell some instances of a word."""
+        """Send a limit to some instances."""
         for peer in peers:
             self._send_limit(peer, server_id, limit)
 
@@ -407,54 +422,56 @@
         *,
         is_for_all: bool = False,
     ) -> None:
-        """Tell one instance of a word, and have it tell all if it is for all."""
+        """Send a limit to one instance, which broadcasts it if it is for all."""
         now_s = clocks.now_s()
         message = LimitDatagram(
             token=peer.token,
             sender=self._directory.own.id,
             lifetime=lifetime_name(server_id, limit.started_ms),
             limit_a_s=None if limit.is_lifted else limit.per_s,
-            sent_ago_ms=_ago_ms(limit.sent_s, now_s),
-            heard_ago_ms=_ago_ms(limit.heard_s, now_s),
+            sent_ago_ms=_age_ms(limit.sent_s, now_s),
+            heard_ago_ms=_age_ms(limit.received_s, now_s),
             is_for_all=is_for_all,
         )
         self._datagrams.send(peer, message)
 
-    def _tell_newcomers(self) -> None:
-        """Tell instances that have come of the limits that this one keeps."""
-        others = {one.id: one for one in self._directory.others()}
-        newcomers = [one for key, one in others.items() if key not in self._known_ids]
-        self._known_ids = set(others)
-        if not newcomers:
+    def _announce_to_new_instances(self) -> None:
+        """Send the limits that this instance issues permits for to new instances."""
+        peers = {peer.id: peer for peer in self._directory.others()}
+        new_peers = [
+            peer for peer_id, peer in peers.items() if peer_id not in self._known_ids
+        ]
+        self._known_ids = set(peers)
+        if not new_peers:
             return
-        for server_id, limit in self._gate.known.known().items():
-            if self._keeper(server_id) is None:
-                self._tell(newcomers, server_id, limit)
+        for server_id, limit in self._limits.server_limits.active().items():
+            if self._issuer(server_id) is None:
+                self._send_to_peers(new_peers, server_id, limit)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do some work beside what goes on."""
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _ago_ms(at_s: float, now_s: float) -> int:
-    """Return how long ago a time was, as datagrams tell it."""
-    return min(_LONGEST_AGO_MS, max(0, int((now_s - at_s) * _MS_PER_S)))
+def _age_ms(at_s: float, now_s: float) -> int:
+    """Return the age of a time, as used in datagrams."""
+    return min(_MAX_AGE_MS, max(0, int((now_s - at_s) * _MS_PER_S)))
 
 
-def _heard_limit(
-    message: LimitDatagram | PermitAskDatagram, limit_a_s: float | None
+def _reported_limit(
+    message: LimitDatagram | PermitAskDatagram, limit_per_s: float | None
 ) -> tuple[str, Limit]:
-    """Return the server that a datagram speaks of, and the word on its limit."""
+    """Return the server and the limit that a datagram reports."""
     server_id, started_ms = server_and_start(message.lifetime)
     now_s = clocks.now_s()
     limit = Limit(
-        math.inf if limit_a_s is None else limit_a_s,
+        math.inf if limit_per_s is None else limit_per_s,
         started_ms,
         0,
         now_s - message.sent_ago_ms / _MS_PER_S,
         now_s - message.heard_ago_ms / _MS_PER_S,
-        teller=message.sender,
+        reported_by=message.sender,
     )
     return server_id, limit
--- a/src/violethatch/_send_checks.py
+++ b/src/violethatch/_send_checks.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Rechecks that a server may be sent to, right before the request is written.
+"""Checks a request again right before it is written.
 
-Between the decision to send and the write lies the wait for a connection, in which the
-server may have asked for less or drained.  A hook of the library's request checks again
-when the connection is there.
+A scheduled request may wait for a connection, and in the meantime its server may have
+requested a back-off or started to shut down.  A hook in the HTTP library's request
+class repeats the check when the connection is established.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from aiohttp.connector import Connection
 
 
-#: The check before a write; it raises what keeps the request back.
+#: The check before a write; raises an exception to reject the request.
 _CHECK: contextvars.ContextVar[Callable[[], None] | None] = contextvars.ContextVar(
     "check", default=None
 )
@@ -28,11 +28,11 @@
 def send_check(
     check: Callable[[], None], *, before_write: Callable[[], None] | None = None
 ) -> Iterator[None]:
-    """Check now, and have the requests made within checked before their write.
+    """Check now, and again before each request made in the context is written.
 
     Args:
-        check: Raises what keeps a request back.
-        before_write: The check right before the write, where it is another one.
+        check: Raises an exception to reject a request.
+        before_write: Check right before the write; *check* if omitted.
     """
     check()
     token = _CHECK.set(before_write or check)
@@ -43,10 +43,10 @@
 
 
 class CheckedRequest(aiohttp.ClientRequest):
-    """A request that is checked again when its connection is there."""
+    """A request that is checked again when its connection is established."""
 
     async def send(self, conn: Connection) -> aiohttp.ClientResponse:
-        """Write the request, unless it is kept back; the connection can be used on."""
+        """Write the request; if it is rejected, its connection remains usable."""
         check = _CHECK.get()
         if check is not None:
             try:
--- a/src/violethatch/limit_header.py
+++ b/src/violethatch/limit_header.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Reading how many requests a second a server takes from all instances together.
+"""Parser of the header with a server's rate limit for all instances together.
 
-A figure that can't be understood says nothing: it neither ends a limit that is known
-nor sets one, and is told to whoever logs it.
+A value that can't be parsed neither lifts a known limit nor sets one, and is returned
+to the caller for logging.
 
 .. versionadded:: 26.6.0
 """
@@ -16,22 +16,22 @@
 from typing import NamedTuple
 
 
-#: The highest limit that binds, in requests a second.  The largest fleet that is
-#: planned for gets 6,300 before hundreds of servers: a higher one limits nothing.
+#: Maximum limit that is enforced, in requests a second.  The largest planned fleet
+#: receives 6,300 for hundreds of servers: a higher limit has no effect.
 MAX_LIMIT_PER_S = 1_000.0
-#: The longest figure that is read, in characters.
-_MOST_CHARACTERS = 64
-_NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
+#: Maximum length of a value, in characters.
+_MAX_VALUE_LENGTH = 64
+_DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 
 
 class ParsedLimit(NamedTuple):
-    """What a server's figures come to.
+    """The limit in a response's headers.
 
     Attributes:
-        per_s: The requests that it takes a second; infinite if it names no limit, None
-            if that can't be told.
-        invalid: A figure that can't be understood, shortened; empty if there is none.
-        exceeds_max: Whether it named more than is kept as a limit.
+        per_s: Requests a second that the server accepts; infinite if it advertises no
+            limit, None if the headers are invalid.
+        invalid: A value that can't be parsed, truncated; empty if there is none.
+        exceeds_max: Whether the limit is ignored because it exceeds the maximum.
 
     .. versionadded:: 26.6.0
     """
@@ -42,22 +42,23 @@
 
 
 def parse_limit(values: Iterable[str]) -> ParsedLimit:
-    """Read an answer's figures; of several the lowest counts.
+    """Parse a response's limit headers; the lowest of several limits applies.
 
     Args:
-        values: The header's values as they came; a relay may have joined some with a
-            comma.
+        values: The raw header values; a proxy may have joined several with a comma.
 
     .. versionadded:: 26.6.0
     """
     parts = [
-        part.strip() for value in values for part in value[:_MOST_CHARACTERS].split(",")
+        part.strip()
+        for value in values
+        for part in value[:_MAX_VALUE_LENGTH].split(",")
     ]
     if not parts:
         return ParsedLimit()
-    figures = [float(part) for part in parts if _NUMBER.fullmatch(part)]
-    unread = [part or "(empty)" for part in parts if not _NUMBER.fullmatch(part)]
-    lowest = min(figures, default=None)
+    limits = [float(part) for part in parts if _DECIMAL.fullmatch(part)]
+    invalid = [part or "(empty)" for part in parts if not _DECIMAL.fullmatch(part)]
+    lowest = min(limits, default=None)
     if lowest is not None and lowest > MAX_LIMIT_PER_S:
-        return ParsedLimit(math.inf, "".join(unread[:1]), exceeds_max=True)
-    return ParsedLimit(lowest, "".join(unread[:1]))
+        return ParsedLimit(math.inf, "".join(invalid[:1]), exceeds_max=True)
+    return ParsedLimit(lowest, "".join(invalid[:1]))
--- a/src/violethatch/limits.py
+++ b/src/violethatch/limits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Limits of workspaces, shared out between instances.
+"""Rate and concurrency limits of workspaces, divided between instances.
 
 .. versionadded:: 26.1.0
 """
@@ -13,7 +13,7 @@
 
 
 class WorkspaceLimits(NamedTuple):
-    """What a workspace may use, over all instances together.
+    """Limits of a workspace, over all instances together.
 
     .. versionadded:: 26.1.0
     """
@@ -26,8 +26,8 @@
     """Admits one workspace's requests on one instance.
 
     The instance enforces its share of the workspace's limits.  The share
-    moves with the demand that peers report (see `demand_shares`) and is an
-    equal split while nothing is known of them.
+    follows the demand that peers report (see `demand_shares`) and is an
+    equal split while no reports are available.
 
     Args:
         limits: The workspace's limits over all instances.
@@ -49,39 +49,39 @@
         self._tokens = self._burst()
 
     def admit(self, now_s: float) -> None:
-        """Count a request in.
+        """Admit a request.
 
         Raises:
-            RateLimitedError: The share is used up; says when to come back.
+            RateLimitedError: The share is exhausted; `retry_after_s` is set.
         """
         self._refill(now_s)
         allowed = max(1, round(self.limits.concurrent * self.share))
         if self.in_flight >= allowed:
-            msg = f"{self.in_flight} requests in flight, {allowed} allowed here"
+            msg = f"{self.in_flight} requests in flight, instance limit is {allowed}"
             raise RateLimitedError(msg, retry_after_s=1.0)
         if self._tokens < 1.0:
             wait_s = (1.0 - self._tokens) / self._rate()
-            msg = f"rate of {self._rate():.3g} requests/s reached here"
+            msg = f"instance rate limit of {self._rate():.3g} requests/s exceeded"
             raise RateLimitedError(msg, retry_after_s=wait_s)
         self._tokens -= 1.0
         self.in_flight += 1
 
     def release(self) -> None:
-        """Count a request out."""
+        """Record the end of an admitted request."""
         self.in_flight -= 1
 
     def _rate(self) -> float:
-        """Return this instance's requests a second."""
+        """Return this instance's share of the rate, in requests a second."""
         return max(1e-3, self.limits.requests_per_s * self.share)
 
     def _burst(self) -> float:
-        """Return the most tokens that may be saved up: a second's worth."""
+        """Return the capacity of the token bucket: one second of the rate."""
         return max(1.0, self._rate())
 
     def _refill(self, now_s: float) -> None:
-        """Add the tokens earned since the last call."""
-        earned = (now_s - self._refilled_s) * self._rate()
-        self._tokens = min(self._burst(), self._tokens + earned)
+        """Add the tokens accrued since the last refill."""
+        accrued = (now_s - self._refilled_s) * self._rate()
+        self._tokens = min(self._burst(), self._tokens + accrued)
         self._refilled_s = now_s
 
 
@@ -90,12 +90,12 @@
 ) -> dict[str, float]:
     """Split a limit between instances by the demand that each reports.
 
-    A part of it, *floor*, is always split equally, so that an instance whose
-    demand rises can serve at once and need not wait for the next report.
+    A fraction, *floor*, is always split equally, so that an instance whose
+    demand rises can admit requests before the next report.
 
     Args:
-        demand_by_instance: Requests a second seen by each instance.
-        floor: The part that is split equally, from 0 to 1.
+        demand_by_instance: Requests a second received by each instance.
+        floor: The fraction that is split equally, from 0 to 1.
 
     .. versionadded:: 26.1.0
     """
--- a/src/violethatch/server_backoffs.py
+++ b/src/violethatch/server_backoffs.py
@@ -1,25 +1,26 @@
 # SPDX-License-Identifier: MIT
-"""What servers have asked of one instance, and how long it binds.
+"""Back-offs that servers request from one instance, and how long they bind.
 
-Load pattern: a first runner turns all away for seconds and asks each instance that it
-refuses for rest.  Many requests come within that time at each instance, some were
-decided before the word came and wait for a connection.  Each that goes there all the
-same costs a retry and a way there and back, and the server what it asked to be spared.
+Load: the first runner of a path rejects all requests for seconds, and requests a
+back-off from each instance that it rejects.  Many requests for the runner arrive at
+each instance within that time, and some were scheduled before the response and wait
+for a connection.  Each one that is sent anyway costs a retry and a round trip, and adds
+the load that the server asked to shed.
 
-*A rest is a promise*, not a wish: while it lasts nothing is sent, whatever else there
-is.  It binds the instance that was asked, no other: the server speaks to one instance,
-and may have room for the others.  A longer rest outlasts a shorter one, and a success
-that was under way ends none.
+*A back-off is binding*: nothing is sent until it expires, even if no other server is
+available.  It binds only the instance that received it, as the server may have capacity
+for the others.  A longer back-off extends a shorter one, and a successful response to
+an earlier request does not cancel it.
 
-*Its end.*  Where a server has refused many instances at once, their rests end at once
-as well.  So each takes the server up again a little later, by chance, and with one
-request first: until that one's answer is there the others go elsewhere where they can.
-Both are wishes: a request that has nowhere else to go is not held up by them.
+*Resumption.*  The back-offs of many instances that a server rejected at the same time
+also expire at the same time.  So each instance resumes after a random delay, and with a
+single probe request: others use different servers, if possible, until it is answered.
+Neither is binding: requests without an alternative are not delayed.
 
-Rests are kept by a server's id and start, so that an entry of the list which goes and
-comes back changes nothing and a new start under the id is free.  The list tells late of
-a new start: what has answered a request that was sent after its birth was that start
-already, and its word stands when the list tells.
+Back-offs are stored per server id and start, so that an entry which is removed from the
+server list and added again changes nothing, and a restarted server has none.  The list
+reports a restart late: the response to a request that was sent after the new start
+comes from that start, and its back-off remains valid when the list is updated.
 
 .. versionadded:: 26.5.0
 """
@@ -32,34 +33,35 @@
 from typing import NamedTuple
 
 
-#: Rests that are kept; the next one to end goes first.  Five times the servers of the
-#: largest fleet that is planned for (790), some 200 bytes each.
-MOST_RESTS = 4_000
-#: By which part of its length, and by how much at the most, in seconds, an instance
-#: takes a server up later than it may.  Simulated, 350 instances of 5 requests a
-#: second each after a rest of 3 s: 105 arrivals in the busiest quarter of a second for
-#: 159, and 433 refused again in all for 656.
-SPREAD_PART = 0.25
-MOST_SPREAD_S = 3.0
-#: How long the first request after a rest is waited for, in seconds: heads of plain
-#: answers and first events come within half of that where all is well.  Simulated, 64
-#: instances of 50 requests a second each: 64 refused in the first second after a rest
-#: of 3 s for 78.
-TRIAL_S = 1.0
-#: How long after its end a rest that nobody has tried is remembered, in seconds.
-_REMEMBERED_S = 30.0
+#: Maximum number of back-offs; the first to expire is evicted.  Five times the servers
+#: of the largest planned fleet (790), at about 200 bytes each.
+MAX_BACKOFFS = 4_000
+#: Jitter on the resumption of traffic, as a fraction of the back-off and with a maximum
+#: in seconds.  In a simulation of 350 instances with 5 requests a second each after a
+#: back-off of 3 s, it lowers the arrivals in the busiest quarter of a second from 159
+#: to 105, and the repeated rejections from 656 to 433.
+SPREAD_FRACTION = 0.25
+MAX_SPREAD_S = 3.0
+#: Timeout of the probe request after a back-off, in seconds: twice the time in which
+#: plain response headers and first events normally arrive.  In a simulation of 64
+#: instances with 50 requests a second each, it lowers the rejections in the first
+#: second after a back-off of 3 s from 78 to 64.
+PROBE_TIMEOUT_S = 1.0
+#: Time for which an expired back-off without a probe is stored, in seconds.
+_UNPROBED_RETENTION_S = 30.0
 
 
 def may_come_from_start(started_ms: int, *, listed_ms: int, sent_ms: int) -> bool:
-    """Tell whether a word may be that of a start of its server.
+    """Return whether a signal may come from a given start of its server.
 
-    A clock that differs from the server's, or jumps, may take a word for the next
-    start's, or for the one before: by as much as the clocks differ around its birth.
+    A clock that differs from the server's clock, or is adjusted, may assign signals to
+    the next or previous start if they are as close to the restart as the clocks differ.
 
     Args:
-        started_ms: When the start was; 0 where it doesn't tell.
-        listed_ms: Which start was listed when the server was asked; 0 likewise.
-        sent_ms: When it was asked, by the own time of day; 0 where that is not known.
+        started_ms: Time of the start; 0 if unknown.
+        listed_ms: Time of the start that was listed when the request was sent; 0 if
+            unknown.
+        sent_ms: Local wall-clock time when the request was sent; 0 if unknown.
 
     .. versionadded:: 26.5.0
     """
@@ -69,12 +71,13 @@
 
 
 def resolve_start(listed_ms: int, *, known_ms: int, sent_ms: int) -> int | None:
-    """Return which start a word is kept for, or None if it is over.
+    """Return the start to store a signal for, or None if that start has ended.
 
     Args:
-        listed_ms: Which start was listed when the server was asked; 0 if none is told.
-        known_ms: The latest start that is known; 0 likewise.
-        sent_ms: When the server was asked, by the own time of day.
+        listed_ms: Time of the start that was listed when the request was sent; 0 if
+            unknown.
+        known_ms: Time of the latest known start; 0 if unknown.
+        sent_ms: Local wall-clock time when the request was sent.
 
     .. versionadded:: 26.5.0
     """
@@ -83,17 +86,17 @@
     return known_ms if sent_ms >= known_ms else None
 
 
-class Rest(NamedTuple):
-    """A rest that a server has asked this instance for.
+class Backoff(NamedTuple):
+    """A back-off that a server requested from this instance.
 
     Attributes:
-        started_ms: Which start of the server was listed; 0 where it tells none.
-        sent_ms: When the request was sent that it answered, by the time of day.
-        asked_s: For how long it has asked, in seconds.
-        until_s: Until when nothing is sent.
-        returns_s: From when on it is taken up again where there are others.
-        request_id: What it has answered with the word; empty if that was no call.
-        trial_s: When the first request after it was sent, if one was.
+        started_ms: Time of the server's start that was listed; 0 if unknown.
+        sent_ms: Wall-clock time when the rejected request was sent.
+        asked_s: Requested duration, in seconds.
+        until_s: Time until which nothing is sent.
+        resumes_at_s: Time from which the server is no longer avoided.
+        request_id: Id of the rejected call; empty if it was not a call.
+        probe_sent_s: Time when the probe request was sent, if any.
 
     .. versionadded:: 26.5.0
     """
@@ -102,115 +105,120 @@
     sent_ms: int
     asked_s: float
     until_s: float
-    returns_s: float
+    resumes_at_s: float
     request_id: str
-    trial_s: float | None = None
+    probe_sent_s: float | None = None
 
-    def binds(self, started_ms: int, *, now_s: float) -> bool:
-        """Tell whether nothing may be sent to a start of the server now."""
-        return now_s < self.until_s and self.is_of(started_ms)
+    def is_active(self, started_ms: int, *, now_s: float) -> bool:
+        """Return whether sends to a start of the server are blocked."""
+        return now_s < self.until_s and self.applies_to(started_ms)
 
-    def is_of(self, started_ms: int) -> bool:
-        """Tell whether it is the word of a start, as far as starts are told."""
+    def applies_to(self, started_ms: int) -> bool:
+        """Return whether the back-off may come from a start of the server."""
         return may_come_from_start(
             started_ms, listed_ms=self.started_ms, sent_ms=self.sent_ms
         )
 
     def is_avoided(self, *, now_s: float) -> bool:
-        """Tell whether others than the first request go elsewhere where they can."""
-        if now_s < self.returns_s:
+        """Return whether requests prefer other servers, apart from the probe."""
+        if now_s < self.resumes_at_s:
             return True
-        return self.trial_s is not None and now_s < self.trial_s + TRIAL_S
+        return (
+            self.probe_sent_s is not None
+            and now_s < self.probe_sent_s + PROBE_TIMEOUT_S
+        )
 
 
 class ServerBackoffs:
-    """The rests that one instance was asked for.
+    """The back-offs that servers requested from one instance.
 
     Args:
-        rng: Spreads the returns.
+        rng: Adds jitter to the resumption of traffic.
 
     .. versionadded:: 26.5.0
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._rests: dict[str, Rest] = {}
+        self._backoffs: dict[str, Backoff] = {}
 
     def __len__(self) -> int:
-        return len(self._rests)
+        return len(self._backoffs)
 
     def record(
         self,
         server_id: str,
-        length_s: float,
+        duration_s: float,
         *,
         started_ms: int = 0,
         sent_ms: int = 0,
         request_id: str = "",
         now_s: float,
     ) -> bool:
-        """Take in that a server asks for rest; tell whether that is longer than before.
+        """Store a requested back-off; return whether it extends the previous one.
 
         Args:
-            server_id: Who asks.
-            length_s: For how long it wants nothing, in seconds; 0 is nothing asked.
-            started_ms: Which start of it was listed; 0 where it tells none.
-            sent_ms: When the request was sent that it answered, by the time of day.
-            request_id: What it has answered with that.
+            server_id: The server that requested it.
+            duration_s: Requested duration, in seconds; 0 requests none.
+            started_ms: Time of the server's start that was listed; 0 if unknown.
+            sent_ms: Wall-clock time when the rejected request was sent.
+            request_id: Id of the rejected call.
             now_s: The current monotonic time, in seconds.
         """
-        known = self._rests.get(server_id)
+        known = self._backoffs.get(server_id)
         known_ms = known.started_ms if known is not None else 0
         start_ms = resolve_start(started_ms, known_ms=known_ms, sent_ms=sent_ms)
-        if start_ms is None or length_s <= 0.0:
+        if start_ms is None or duration_s <= 0.0:
             return False
-        until_s = now_s + length_s
-        if known is not None and known.is_of(start_ms):
-            # Either word may be that of a start which is not listed yet.
+        until_s = now_s + duration_s
+        if known is not None and known.applies_to(start_ms):
+            # Either back-off may come from a start that is not listed yet.
             sent_ms = max(known.sent_ms, sent_ms)
             if known.until_s >= until_s:
-                self._rests[server_id] = known._replace(sent_ms=sent_ms)
+                self._backoffs[server_id] = known._replace(sent_ms=sent_ms)
                 return False
-        spread_s = min(MOST_SPREAD_S, SPREAD_PART * length_s) * self._rng.random()
-        self._rests[server_id] = Rest(
-            start_ms, sent_ms, length_s, until_s, until_s + spread_s, request_id
+        jitter_s = min(MAX_SPREAD_S, SPREAD_FRACTION * duration_s) * self._rng.random()
+        self._backoffs[server_id] = Backoff(
+            start_ms, sent_ms, duration_s, until_s, until_s + jitter_s, request_id
         )
-        self._forget_some(now_s)
+        self._evict(now_s)
         return True
 
     def active(
         self, server_id: str, *, started_ms: int = 0, now_s: float
-    ) -> Rest | None:
-        """Return the rest that binds towards a start of a server, if one does."""
-        known = self._rests.get(server_id)
-        if known is None or not known.binds(started_ms, now_s=now_s):
+    ) -> Backoff | None:
+        """Return the active back-off of a start of a server, or None."""
+        known = self._backoffs.get(server_id)
+        if known is None or not known.is_active(started_ms, now_s=now_s):
             return None
         return known
 
     def record_send(self, server_id: str, *, now_s: float) -> None:
-        """Note that a request goes to a server: the first after a rest is its trial."""
-        known = self._rests.get(server_id)
+        """Record a request to a server; the first after a back-off is the probe."""
+        known = self._backoffs.get(server_id)
         if known is not None and not known.is_avoided(now_s=now_s):
-            self._rests[server_id] = known._replace(trial_s=now_s)
+            self._backoffs[server_id] = known._replace(probe_sent_s=now_s)
 
     def record_response(self, server_id: str, *, now_s: float) -> None:
-        """Note that a server has answered without asking for rest: it is back."""
-        known = self._rests.get(server_id)
+        """Remove an expired back-off: the server responded without a new one."""
+        known = self._backoffs.get(server_id)
         if known is not None and now_s >= known.until_s:
-            del self._rests[server_id]
-
-    def known(self) -> Mapping[str, Rest]:
-        """Return, by server's id, the rests that bind or are not tried yet."""
-        return self._rests
-
-    def _forget_some(self, now_s: float) -> None:
-        """Forget rests that nobody tries, and those over the bound."""
-        old = [
-            one
-            for one, rest in self._rests.items()
-            if now_s >= rest.returns_s + _REMEMBERED_S
+            del self._backoffs[server_id]
+
+    def entries(self) -> Mapping[str, Backoff]:
+        """Return the back-offs that are active or not probed yet, by server id."""
+        return self._backoffs
+
+    def _evict(self, now_s: float) -> None:
+        """Remove back-offs that were never probed, and those above the maximum."""
+        expired = [
+            server_id
+            for server_id, backoff in self._backoffs.items()
+            if now_s >= backoff.resumes_at_s + _UNPROBED_RETENTION_S
         ]
-        for one in old:
-            del self._rests[one]
-        if len(self._rests) > MOST_RESTS:
-            del self._rests[min(self._rests, key=lambda one: self._rests[one].until_s)]
+        for server_id in expired:
+            del self._backoffs[server_id]
+        if len(self._backoffs) > MAX_BACKOFFS:
+            del self._backoffs[
+                min(self._backoffs, key=lambda key: self._backoffs[key].until_s)
+            ]
--- a/tests/test_limit_link.py
+++ b/tests/test_limit_link.py
@@ -59,18 +59,18 @@
 
     def limit_a_s(self):
         """Return the limit that it knows; None if there is none."""
-        limit = self.flow_control.limit_of(SERVER.id)
+        limit = self.flow_control.active_limit(SERVER.id)
         return limit.per_s if limit else None
 
     def keeper_id(self):
         """Return whom it takes for the server's keeper."""
-        keeper = self.link._keeper(SERVER.id)
+        keeper = self.link._issuer(SERVER.id)
         return keeper.id if keeper else self.own.id
 
     async def ask(self):
         """Ask for a permit."""
         return await self.link.request_permit(
-            SERVER, self.flow_control.limit_of(SERVER.id), 0
+            SERVER, self.flow_control.active_limit(SERVER.id), 0
         )
 
     def list(self, entries):
@@ -174,13 +174,13 @@
         del before[newcomer.own.id]
         for member in members.all[:-1]:
             member.list(before)
-            member.link._tell_newcomers()
+            member.link._announce_to_new_instances()
         members.all[0].hear(2.4)
         await asyncio.sleep(0.05)
         assert newcomer.limit_a_s() is None
         for member in members.all[:-1]:
             member.list(members.entries)
-            member.link._tell_newcomers()
+            member.link._announce_to_new_instances()
         await asyncio.sleep(0.05)
         assert newcomer.limit_a_s() == 2.4
 
@@ -191,7 +191,7 @@
         await asyncio.sleep(0.05)
         one = next(one for one in members.all if one is not members.keeper())
         now_s = clocks.now_s()
-        members.keeper().flow_control.known.update(
+        members.keeper().flow_control.server_limits.update(
             "s1", Limit(math.inf, 0, 0, now_s, now_s + 0.001)
         )
         assert (await one.ask()).is_granted
@@ -233,22 +233,22 @@
         members = Members(8)
         keeper = members.keeper()
         one = next(one for one in members.all if one is not keeper)
-        for _ in range(5 * _limit_link._MOST_MISSED):
-            one.link._note_missed(keeper.own.id)
+        for _ in range(5 * _limit_link._MAX_MISSED_REPLIES):
+            one.link._record_missed_reply(keeper.own.id)
         assert one.keeper_id() == keeper.own.id
 
     async def test_keeper_comes_back(self, monkeypatch):
         """It is asked again after a while."""
-        monkeypatch.setattr(_limit_link, "_PASSED_OVER_S", 0.1)
+        monkeypatch.setattr(_limit_link, "_ISSUER_COOLDOWN_S", 0.1)
         members = Members(8)
         members.all[0].hear(4.9)
         await asyncio.sleep(0.05)
         keeper = members.keeper()
         one = next(one for one in members.all if one is not keeper)
-        for _ in range(_limit_link._MOST_MISSED):
-            one.link._note_missed(keeper.own.id)
-            one.link._note_missed(keeper.own.id)
-            await asyncio.sleep(_limit_link._ANSWER_S)
+        for _ in range(_limit_link._MAX_MISSED_REPLIES):
+            one.link._record_missed_reply(keeper.own.id)
+            one.link._record_missed_reply(keeper.own.id)
+            await asyncio.sleep(_limit_link._REPLY_TIMEOUT_S)
         assert one.keeper_id() != keeper.own.id
         await asyncio.sleep(0.11)
         assert one.keeper_id() == keeper.own.id
@@ -284,7 +284,7 @@
             keeper.is_leaving = True
         for _ in range(30):
             await asyncio.gather(*(one.ask() for one in members.all))
-        holders = [one for one in members.all if len(one.flow_control.keepers)]
+        holders = [one for one in members.all if len(one.flow_control.issuers)]
         assert len(holders) == 1
         assert holders[0] is not keeper
 
@@ -301,7 +301,7 @@
             if number == 10:
                 for member in members.all:
                     member.link._started_s -= then_s
-        assert sum(len(one.flow_control.keepers) for one in members.all) == 1
+        assert sum(len(one.flow_control.issuers) for one in members.all) == 1
 
     async def test_what_was_left_to_the_next_one_comes_back(self):
         """When the limit is over, so that the next one begins at the first again."""
@@ -327,18 +327,18 @@
         del less[keeper.own.id]
         others = [one for one in members.all if one is not keeper]
         second = {
-            member.own.id for member in others if member.link._keeper(SERVER.id) is None
+            member.own.id for member in others if member.link._issuer(SERVER.id) is None
         }
         assert not second
         for member in others[:4]:
             member.list(less)
-        asked = [one for one in others[:4] if one.link._keeper(SERVER.id)]
+        asked = [one for one in others[:4] if one.link._issuer(SERVER.id)]
         next_id = asked[0].keeper_id()
         if next_id in {one.own.id for one in others[:4]}:
             members.all[int(next_id[1:])].list(members.entries)
         for _ in range(30):
             await asyncio.gather(*(one.ask() for one in asked))
-        holders = [one for one in members.all if len(one.flow_control.keepers)]
+        holders = [one for one in members.all if len(one.flow_control.issuers)]
         assert holders == [keeper]
 
 
@@ -357,9 +357,11 @@
             members.cut(keeper)
             asking = asyncio.create_task(asker.ask())
             await asyncio.sleep(0.001)
-            (number,) = asker.link._asked
+            (number,) = asker.link._pending
             permit = PermitDatagram("t", keeper.own.id, number, True, 0, False)
-            with bytes_that_come(lambda: asker.link._take_permit(permit), for_s=hold_s):
+            with bytes_that_come(
+                lambda: asker.link._on_permit_reply(permit), for_s=hold_s
+            ):
                 return (await asking).is_granted
 
         with asyncio.Runner(loop_factory=loop_class) as runner:
@@ -407,4 +409,4 @@
         members.network.latest_s = 1.0
         await one.ask()
         await asyncio.sleep(1.1)
-        assert one.link._asked == {}
+        assert one.link._pending == {}
--- a/tests/test_limit_permits.py
+++ b/tests/test_limit_permits.py
@@ -12,8 +12,8 @@
 from asking_servers import most_within
 from violethatch import limit_permits
 from violethatch.limit_permits import (
-    LEAST_A_S,
-    PERMIT_LIFE_S,
+    MIN_LIMIT_PER_S,
+    PERMIT_LIFETIME_S,
     WINDOW_S,
     Permit,
     PermitCache,
@@ -80,7 +80,7 @@
             str(one), per_s, priority=priority, now_s=now_s + WAY_S
         )
         if reply.is_granted:
-            late_s = self.rng.choice((2 * WAY_S, PERMIT_LIFE_S))
+            late_s = self.rng.choice((2 * WAY_S, PERMIT_LIFETIME_S))
             self.sent_s.append(now_s + late_s)
             self.sent_of[priority] += 1
         else:
@@ -137,7 +137,7 @@
         """The keeper answers what it gives and some thirty more a second."""
         replay = Replay(instances, DEMAND_A_S * instances)
         replay.play(LASTS_S, per_s)
-        bound_a_s = per_s + limit_permits._MOST_ASKS_A_S
+        bound_a_s = per_s + limit_permits._MAX_RETRIES_PER_S
         # Each instance may ask once in the moment in which the limit becomes known.
         assert replay.asks <= instances + 1.2 * bound_a_s * LASTS_S
 
@@ -180,7 +180,7 @@
         replay = Replay(8, DEMAND_A_S * 8)
         replay.play(120.0, 0.0)
         assert len(replay.sent_s) in (3, 4)
-        assert most_within(sorted(replay.sent_s), 1 / LEAST_A_S) <= 1
+        assert most_within(sorted(replay.sent_s), 1 / MIN_LIMIT_PER_S) <= 1
 
 
 class TestKeeper:
@@ -211,11 +211,11 @@
 class TestKeepers:
     def test_most_kept(self, monkeypatch):
         """The one that nobody asked for longest goes first."""
-        monkeypatch.setattr(limit_permits, "_MOST_KEPT", 3)
+        monkeypatch.setattr(limit_permits, "_MAX_SERVERS", 3)
         keepers = PermitIssuers(random.Random(1))
         for number in range(9):
             keepers.request(f"s{number}", "i1", 5.0, now_s=0.0)
-        assert sorted(keepers.given_within(WINDOW_S, now_s=0.0)) == ["s6", "s7", "s8"]
+        assert sorted(keepers.granted_within(WINDOW_S, now_s=0.0)) == ["s6", "s7", "s8"]
 
     def test_kept_for_longer_than_the_span(self):
         """Who comes back within it finds what was given."""
@@ -231,18 +231,18 @@
     def test_permit_that_was_not_used(self):
         """The next request uses it, once, while it is good."""
         stock = PermitCache()
-        stock.give_back("s1", Permit(1.0))
-        assert stock.take("s1", now_s=0.5) == Permit(1.0)
-        assert stock.take("s1", now_s=0.5) is None
-        stock.give_back("s1", Permit(1.0))
-        assert stock.take("s1", now_s=1.0) is None
+        stock.add("s1", Permit(1.0))
+        assert stock.pop("s1", now_s=0.5) == Permit(1.0)
+        assert stock.pop("s1", now_s=0.5) is None
+        stock.add("s1", Permit(1.0))
+        assert stock.pop("s1", now_s=1.0) is None
 
     def test_several_permits(self):
         stock = PermitCache()
         for until_s in (1.0, 2.0, 3.0):
-            stock.give_back("s1", Permit(until_s))
-        assert stock.take("s1", now_s=1.5) == Permit(2.0)
-        assert stock.take("s1", now_s=1.5) == Permit(3.0)
+            stock.add("s1", Permit(until_s))
+        assert stock.pop("s1", now_s=1.5) == Permit(2.0)
+        assert stock.pop("s1", now_s=1.5) == Permit(3.0)
 
     def test_more_urgent_requests_may_ask(self):
         """What was refused says nothing of what goes before it."""
@@ -263,7 +263,7 @@
     def test_limit_is_over(self):
         stock = PermitCache()
         stock.block("s1", 2.0, now_s=0.0)
-        stock.used("s1", now_s=0.0)
+        stock.record_use("s1", now_s=0.0)
         stock.discard("s1")
         assert stock.blocked_s(now_s=0.5) == {}
         assert stock.used_within("s1", WINDOW_S, now_s=0.5) == 0
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def all_due(monkeypatch):
     """Let each runner that rests be asked at each look."""
-    monkeypatch.setattr(_health_checks, "_ASK_S", 0.0)
+    monkeypatch.setattr(_health_checks, "_PROBE_INTERVAL_S", 0.0)
 
 
 def resting(routing, *, in_s=0.0):
@@ -37,7 +37,7 @@
         routing = make_routing(client, A, B, rng=random.Random(1))
         for server in (A, B):
             routing.note_trouble(server, Trouble.SILENT, "r", "dead")
-        await HealthCheckLoop(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert resting(routing) == {"b"}
 
     async def test_silent_runner_rests_on(self):
@@ -49,7 +49,7 @@
         watch = HealthCheckLoop(routing, rng=random.Random(1))
         await asyncio.sleep(0.05)
         assert resting(routing, in_s=ends_s) == set()
-        await watch.look()
+        await watch.check()
         assert resting(routing, in_s=ends_s) == {"a"}
 
     async def test_rests_don_t_grow_for_ever(self):
@@ -57,7 +57,7 @@
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         routing.note_trouble(A, Trouble.SILENT, "r", "dead")
         for _ in range(9):
-            await HealthCheckLoop(routing, rng=random.Random(1)).look()
+            await HealthCheckLoop(routing, rng=random.Random(1)).check()
         longest_s = routing.settings.bounds.stall_s + 0.1
         assert resting(routing, in_s=longest_s) == set()
 
@@ -68,19 +68,19 @@
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
         routing.note_trouble(A, trouble, "r", "")
-        await HealthCheckLoop(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert resting(routing) == {"a"}
 
     async def test_plain_servers_are_not_asked(self):
         """They give no reports."""
         routing = make_routing(FakeClient(), plain_server("p"), rng=random.Random(1))
         routing.note_trouble(plain_server("p"), Trouble.SILENT, "r", "")
-        await HealthCheckLoop(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert resting(routing, in_s=routing.settings.bounds.stall_s) == set()
 
     async def test_many_instances_ask_seldom(self, monkeypatch):
         """What all of them ask together stays bounded."""
-        monkeypatch.setattr(_health_checks, "_ASK_S", 0.05)
+        monkeypatch.setattr(_health_checks, "_PROBE_INTERVAL_S", 0.05)
         asked = []
 
         class AskedClient(FakeClient):
@@ -94,7 +94,7 @@
             routing.note_trouble(A, Trouble.SILENT, "r", "dead")
             watch = HealthCheckLoop(routing, rng=random.Random(1))
             for _ in range(6):
-                await watch.look()
+                await watch.check()
                 routing.probes.forget("a")
                 await asyncio.sleep(0.06)
             assert (len(asked) > 1) == (most > 1)
@@ -106,7 +106,7 @@
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
         routing.paces.note("a", 12.0, now_s=clocks.now_s())
-        await HealthCheckLoop(routing, rng=random.Random(1)).look()
+        await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert routing.paces.slow(now_s=clocks.now_s()) == {}
 
     async def test_looks_go_on(self):
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -105,11 +105,11 @@
 class TestBounds:
     def test_most_limits(self, monkeypatch):
         """The one heard of longest ago goes first."""
-        monkeypatch.setattr(server_limits, "MOST_LIMITS", 3)
+        monkeypatch.setattr(server_limits, "MAX_LIMITS", 3)
         limits = ServerLimits()
         for number in range(5):
             limits.update(f"s{number}", limit(5, number, number + 0.5))
-        assert sorted(limits.known()) == ["s2", "s3", "s4"]
+        assert sorted(limits.active()) == ["s2", "s3", "s4"]
 
     def test_ends_are_forgotten(self):
         limits = ServerLimits()
--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -9,10 +9,10 @@
 import simpy
 
 from violethatch.server_backoffs import (
-    MOST_RESTS,
-    MOST_SPREAD_S,
-    SPREAD_PART,
-    TRIAL_S,
+    MAX_BACKOFFS,
+    MAX_SPREAD_S,
+    SPREAD_FRACTION,
+    PROBE_TIMEOUT_S,
     ServerBackoffs,
 )
 
@@ -31,7 +31,7 @@
 
 def is_avoided(words, now_s):
     """Tell whether a server is sent to only where there is no other."""
-    rest = words.known().get("s1")
+    rest = words.entries().get("s1")
     return rest is not None and rest.is_avoided(now_s=now_s)
 
 
@@ -42,11 +42,11 @@
         assert binds(words, 0.0)
         assert binds(words, 2.999)
         assert not binds(words, 3.0)
-        assert not is_avoided(words, 3.0 + 3.0 * SPREAD_PART)
+        assert not is_avoided(words, 3.0 + 3.0 * SPREAD_FRACTION)
 
     def test_nothing_is_asked_with_zero(self):
         """A server that asks for no time may be sent to at once."""
-        assert not asked(0.0).known()
+        assert not asked(0.0).entries()
 
     def test_longer_one_lasts(self):
         """A shorter rest that is asked for meanwhile shortens nothing."""
@@ -119,19 +119,19 @@
     def test_one_request_goes_first(self):
         """Others are to go elsewhere until it was answered."""
         words = asked(3.0)
-        back_s = 3.0 + 3.0 * SPREAD_PART
+        back_s = 3.0 + 3.0 * SPREAD_FRACTION
         assert not is_avoided(words, back_s)
         words.record_send("s1", now_s=back_s)
         assert is_avoided(words, back_s + 0.1)
         words.record_response("s1", now_s=back_s + 0.2)
-        assert not words.known()
+        assert not words.entries()
 
     def test_first_request_that_is_lost(self):
         """It is waited for only so long; then the next one goes."""
         words = asked(3.0)
         words.record_send("s1", now_s=4.0)
-        assert is_avoided(words, 4.0 + TRIAL_S - 0.01)
-        assert not is_avoided(words, 4.0 + TRIAL_S)
+        assert is_avoided(words, 4.0 + PROBE_TIMEOUT_S - 0.01)
+        assert not is_avoided(words, 4.0 + PROBE_TIMEOUT_S)
         words.record_send("s1", now_s=6.0)
         assert is_avoided(words, 6.5)
 
@@ -144,24 +144,24 @@
 
     def test_spread_is_bounded(self):
         """A rest of an hour is over some seconds after the hour at the latest."""
-        assert not is_avoided(asked(3_600.0), 3_600.0 + MOST_SPREAD_S)
+        assert not is_avoided(asked(3_600.0), 3_600.0 + MAX_SPREAD_S)
 
 
 def test_bound_on_what_is_kept():
     """Many servers' rests take bounded room; the soonest to end go first."""
     words = ServerBackoffs(random.Random(1))
-    for n in range(MOST_RESTS + 50):
+    for n in range(MAX_BACKOFFS + 50):
         words.record(f"s{n}", 10.0 + n, now_s=0.0)
-    assert len(words) == MOST_RESTS
-    assert "s0" not in words.known()
-    assert f"s{MOST_RESTS + 49}" in words.known()
+    assert len(words) == MAX_BACKOFFS
+    assert "s0" not in words.entries()
+    assert f"s{MAX_BACKOFFS + 49}" in words.entries()
 
 
 def test_rests_that_nobody_tries_are_forgotten():
     """A server that was asked once and is gone costs no room for good."""
     words = asked(3.0)
     words.record("s2", 3.0, now_s=100.0)
-    assert set(words.known()) == {"s2"}
+    assert set(words.entries()) == {"s2"}
 
 
 class _Resting:
@@ -196,7 +196,7 @@
     """Let requests come; where the server is avoided they go elsewhere."""
     while True:
         yield env.timeout(rng.expovariate(1.0 / every_s))
-        rest = words.known().get("s1")
+        rest = words.entries().get("s1")
         if rest is not None and rest.is_avoided(now_s=env.now):
             continue
         words.record_send("s1", now_s=env.now)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -495,7 +495,7 @@
             with pytest.raises(KeptBackError):
                 gate.check_send(servers[0].listed, Sending.CALL, "c1", lapsed)
             slow_connects(made[0].kept, lambda _address: 0.3)
-            gate.limits.permits.give_back("s1", Permit(clocks.now_s() + 0.1))
+            gate.limits.permits.add("s1", Permit(clocks.now_s() + 0.1))
             with pytest.raises(KeptBackError):
                 await made[0].client.send(send_to(servers[0].listed))
             assert servers[0].arrived == []
@@ -533,7 +533,7 @@
             with pytest.raises(KeptBackError) as caught:
                 await gate.admit(servers[0].listed, Sending.CALL, "c1")
             assert caught.value.reason == "rest"
-            assert len(gate.limits.keepers) == 0
+            assert len(gate.limits.issuers) == 0
 
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_all_are_limited(self, path, lines):
@@ -619,8 +619,8 @@
         async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
             gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], REST._replace(limit_per_s=2.4))
-            assert set(gate.rests(now_s=clocks.now_s())) == {"s1"}
-            assert gate.limits.limit_of("s1").per_s == 2.4
+            assert set(gate.active_backoffs(now_s=clocks.now_s())) == {"s1"}
+            assert gate.limits.active_limit("s1").per_s == 2.4
 
     def test_words_that_nothing_reads(self, lines):
         """One line each, a bounded number of them, and all are counted."""
