--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -11,8 +11,8 @@
 from violethatch.server_backoffs import (
     MAX_BACKOFFS,
     MAX_SPREAD_S,
-    SPREAD_FRACTION,
     PROBE_TIMEOUT_S,
+    SPREAD_FRACTION,
     ServerBackoffs,
 )
 
