--- a/tests/test_limit_figures.py
+++ b/tests/test_limit_figures.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Figures of limits, sound ones and others."""
+"""Valid and invalid values of the limit header."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
         (["2,4"], 2.0),
     ],
 )
-def test_figures(values, per_s):
-    """Of several the lowest counts, however they came."""
-    figure = parse_limit(values)
-    assert (figure.per_s, figure.invalid, figure.exceeds_max) == (per_s, "", False)
+def test_valid_values(values, per_s):
+    """The lowest of several values applies, in one header or in several."""
+    parsed = parse_limit(values)
+    assert (parsed.per_s, parsed.invalid, parsed.exceeds_max) == (per_s, "", False)
 
 
-def test_no_figure_is_no_limit():
-    """An answer without the word."""
+def test_no_value_is_no_limit():
+    """A response without the header."""
     assert parse_limit([]).per_s == math.inf
 
 
@@ -38,23 +38,23 @@
     "value",
     ["", "-1", "nan", "inf", "1e3", "+5", "2.4/s", "0x10", "1_000", "\u0662"],
 )
-def test_what_is_no_number(value):
-    """It says nothing either way, and is told."""
-    figure = parse_limit([value])
-    assert figure.per_s is None
-    assert figure.invalid == (value or "(empty)")
+def test_invalid_value(value):
+    """An invalid value neither sets nor lifts a limit, and is reported."""
+    parsed = parse_limit([value])
+    assert parsed.per_s is None
+    assert parsed.invalid == (value or "(empty)")
 
 
-def test_sound_figure_beside_another():
-    """What can be understood counts, and the rest is told."""
-    figure = parse_limit(["soon", "3"])
-    assert (figure.per_s, figure.invalid) == (3.0, "soon")
+def test_valid_and_invalid_values():
+    """The valid value applies, and the invalid one is reported."""
+    parsed = parse_limit(["soon", "3"])
+    assert (parsed.per_s, parsed.invalid) == (3.0, "soon")
 
 
 @pytest.mark.parametrize("value", ["1000000000", "1000.1", "9" * 64, "9" * 400])
-def test_limits_nothing(value):
-    """What is beyond any fleet's need is no limit, and is told."""
-    figure = parse_limit([value])
-    assert figure.per_s == math.inf
-    assert figure.exceeds_max
+def test_limit_above_the_maximum(value):
+    """A limit above the maximum is ignored, and is reported."""
+    parsed = parse_limit([value])
+    assert parsed.per_s == math.inf
+    assert parsed.exceeds_max
     assert parse_limit([str(int(MAX_LIMIT_PER_S))]).per_s == MAX_LIMIT_PER_S
--- a/tests/test_limit_permits.py
+++ b/tests/test_limit_permits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Permits of one limited server, for all instances: a replay, and its parts."""
+"""Permits of one rate-limited server for all instances: a replay and unit tests."""
 
 from __future__ import annotations
 
@@ -22,78 +22,82 @@
 )
 
 
-#: How long a datagram takes, in seconds.
-WAY_S = 0.001
-#: How long a replay lasts, and from when on its use is counted, in seconds.
-LASTS_S, COUNTED_S = 60.0, 10.0
-#: How many requests a limit has to let through in a replay, so that one more or less
-#: doesn't count.
-LEAST_SENT = 50
-#: What an instance gets that would go to the server, in requests a second.
-DEMAND_A_S = 18.0
-#: The part of a limit that is to be used while there is demand for it.
-USED_PART = 0.9
+#: Latency of a datagram, in seconds.
+LATENCY_S = 0.001
+#: Duration of a replay, and start of the measurement of its use, in seconds.
+DURATION_S, MEASURED_FROM_S = 60.0, 10.0
+#: Minimum number of permitted requests in a replay, so that a difference of one is
+#: negligible.
+MIN_SENT = 50
+#: Requests a second for the server that each instance receives.
+DEMAND_PER_S = 18.0
+#: Minimum fraction of a limit that is used while there is demand for it.
+MIN_USED_FRACTION = 0.9
 
 
 class Replay:
-    """Instances with requests for one server, and who keeps its permits.
+    """Instances with requests for one server, and the issuer of its permits.
 
     Args:
-        instances: How many have requests.
-        demand_a_s: The requests of all of them a second.
-        seed: Of all random choices.
+        instances: Number of instances with requests.
+        demand_per_s: Total requests a second.
+        seed: Seed of all random choices.
     """
 
-    def __init__(self, instances, demand_a_s, *, seed=1):
+    def __init__(self, instances, demand_per_s, *, seed=1):
         self.rng = random.Random(seed)
-        self.each_a_s = demand_a_s / instances
-        self.stocks = [PermitCache() for _ in range(instances)]
-        self.keeper = PermitIssuer(rng=self.rng, now_s=0.0)
+        self.each_per_s = demand_per_s / instances
+        self.caches = [PermitCache() for _ in range(instances)]
+        self.issuer = PermitIssuer(rng=self.rng, now_s=0.0)
         self.sent_s = []
-        self.asks = 0
-        #: The priorities that requests have, each as often, and how many were sent.
+        self.permit_requests = 0
+        #: Priorities of requests, equally likely, and the number sent of each.
         self.priorities = (0,)
-        self.sent_of = collections.Counter()
-        self.coming = [(self.next_s(0.0), one) for one in range(instances)]
-        heapq.heapify(self.coming)
-
-    def next_s(self, now_s):
-        """Return when an instance's next request comes."""
-        return now_s + self.rng.expovariate(self.each_a_s)
-
-    def play(self, until_s, per_s, *, is_quiet=False):
-        """Let requests come until a time."""
-        while self.coming[0][0] < until_s:
-            now_s, one = self.coming[0]
-            heapq.heapreplace(self.coming, (self.next_s(now_s), one))
+        self.sent_by_priority = collections.Counter()
+        self.arrivals = [
+            (self.next_arrival_s(0.0), instance) for instance in range(instances)
+        ]
+        heapq.heapify(self.arrivals)
+
+    def next_arrival_s(self, now_s):
+        """Return the time of an instance's next request."""
+        return now_s + self.rng.expovariate(self.each_per_s)
+
+    def run(self, until_s, per_s, *, is_quiet=False):
+        """Run the replay until a time."""
+        while self.arrivals[0][0] < until_s:
+            now_s, instance = self.arrivals[0]
+            heapq.heapreplace(self.arrivals, (self.next_arrival_s(now_s), instance))
             if not is_quiet:
-                self.request(one, per_s, now_s)
+                self.send(instance, per_s, now_s)
 
-    def request(self, one, per_s, now_s):
-        """Send a request with a permit, if there is one; use it late by chance."""
-        stock = self.stocks[one]
+    def send(self, instance, per_s, now_s):
+        """Send a request if a permit is granted; sometimes just before it expires."""
+        cache = self.caches[instance]
         priority = self.rng.choice(self.priorities)
-        if stock.blocked_s(priority=priority, now_s=now_s):
+        if cache.blocked_s(priority=priority, now_s=now_s):
             return
-        self.asks += 1
-        reply = self.keeper.request(
-            str(one), per_s, priority=priority, now_s=now_s + WAY_S
+        self.permit_requests += 1
+        reply = self.issuer.request(
+            str(instance), per_s, priority=priority, now_s=now_s + LATENCY_S
         )
         if reply.is_granted:
-            late_s = self.rng.choice((2 * WAY_S, PERMIT_LIFETIME_S))
-            self.sent_s.append(now_s + late_s)
-            self.sent_of[priority] += 1
+            latency_s = self.rng.choice((2 * LATENCY_S, PERMIT_LIFETIME_S))
+            self.sent_s.append(now_s + latency_s)
+            self.sent_by_priority[priority] += 1
         else:
-            stock.block("s1", reply.wait_s, priority=priority, now_s=now_s + 2 * WAY_S)
+            cache.block(
+                "s1", reply.wait_s, priority=priority, now_s=now_s + 2 * LATENCY_S
+            )
 
-    def most(self):
-        """Return the most that came within any span."""
+    def max_in_window(self):
+        """Return the maximum number of arrivals in any window."""
         return most_within(sorted(self.sent_s), WINDOW_S)
 
-    def used_part(self, per_s, until_s):
-        """Return which part of the limit was used."""
-        used = sum(COUNTED_S <= at_s < until_s for at_s in self.sent_s)
-        return used / (until_s - COUNTED_S) / per_s
+    def used_fraction(self, per_s, until_s):
+        """Return the fraction of the limit that was used."""
+        used = sum(MEASURED_FROM_S <= at_s < until_s for at_s in self.sent_s)
+        return used / (until_s - MEASURED_FROM_S) / per_s
 
 
 class TestReplay:
@@ -101,169 +105,169 @@
     @pytest.mark.parametrize("is_even", [True, False])
     @pytest.mark.parametrize("per_s", [0.3, 2.4, 4.9, 50.0])
     @pytest.mark.parametrize("instances", [8, 64, 350])
-    def test_limit_is_kept_and_used(self, instances, per_s, is_even, seed):
-        """All send no more than it over any four seconds, and nine tenths of it.
+    def test_limit_is_enforced_and_used(self, instances, per_s, is_even, seed):
+        """The total stays within the limit over any four seconds, and above 90% of it.
 
-        Of 1.2 requests in four seconds one is whole.
+        A limit of 1.2 requests in four seconds permits one.
         """
         if is_even:
-            replay = Replay(instances, DEMAND_A_S * instances, seed=seed)
+            replay = Replay(instances, DEMAND_PER_S * instances, seed=seed)
         else:
-            replay = Replay(1, max(DEMAND_A_S, 1.5 * per_s), seed=seed)
-        until_s = max(LASTS_S, COUNTED_S + LEAST_SENT / per_s)
-        replay.play(until_s, per_s)
-        assert replay.most() <= WINDOW_S * per_s
-        whole_a_s = 1.0 / WINDOW_S if WINDOW_S * per_s < 2.0 else per_s
-        assert replay.used_part(min(per_s, whole_a_s), until_s) >= USED_PART
+            replay = Replay(1, max(DEMAND_PER_S, 1.5 * per_s), seed=seed)
+        until_s = max(DURATION_S, MEASURED_FROM_S + MIN_SENT / per_s)
+        replay.run(until_s, per_s)
+        assert replay.max_in_window() <= WINDOW_S * per_s
+        max_per_s = 1.0 / WINDOW_S if WINDOW_S * per_s < 2.0 else per_s
+        assert replay.used_fraction(min(per_s, max_per_s), until_s) >= MIN_USED_FRACTION
 
     @pytest.mark.parametrize("seed", range(3))
     @pytest.mark.parametrize("instances", [1, 8, 64])
     @pytest.mark.parametrize("per_s", [2.4, 4.9, 50.0])
-    def test_urgent_requests_get_most(self, per_s, instances, seed):
-        """Where nothing else serves; others get some, and nothing is left unused."""
-        of_each_a_s = max(DEMAND_A_S * instances, 2 * per_s)
-        replay = Replay(instances, 2 * of_each_a_s, seed=seed)
+    def test_urgent_requests_get_more(self, per_s, instances, seed):
+        """Urgent requests get more permits, others some, and none are left unused."""
+        priority_demand_per_s = max(DEMAND_PER_S * instances, 2 * per_s)
+        replay = Replay(instances, 2 * priority_demand_per_s, seed=seed)
         replay.priorities = (1, 2)
-        replay.play(LASTS_S, per_s)
-        sent = replay.sent_of
-        assert replay.most() <= WINDOW_S * per_s
-        assert replay.used_part(per_s, LASTS_S) >= USED_PART
+        replay.run(DURATION_S, per_s)
+        sent = replay.sent_by_priority
+        assert replay.max_in_window() <= WINDOW_S * per_s
+        assert replay.used_fraction(per_s, DURATION_S) >= MIN_USED_FRACTION
         assert sent[1] >= 1.5 * sent[2]
         assert sent[2] >= 0.05 * sent.total()
 
     @pytest.mark.parametrize("instances", [8, 64, 350])
     @pytest.mark.parametrize("per_s", [2.4, 50.0])
-    def test_questions_do_not_grow_with_instances(self, instances, per_s):
-        """The keeper answers what it gives and some thirty more a second."""
-        replay = Replay(instances, DEMAND_A_S * instances)
-        replay.play(LASTS_S, per_s)
-        bound_a_s = per_s + limit_permits._MAX_RETRIES_PER_S
-        # Each instance may ask once in the moment in which the limit becomes known.
-        assert replay.asks <= instances + 1.2 * bound_a_s * LASTS_S
+    def test_request_rate_does_not_grow_with_instances(self, instances, per_s):
+        """The issuer replies to about thirty requests a second above its permits."""
+        replay = Replay(instances, DEMAND_PER_S * instances)
+        replay.run(DURATION_S, per_s)
+        bound_per_s = per_s + limit_permits._MAX_RETRIES_PER_S
+        # Each instance may request one permit when the limit becomes known.
+        assert replay.permit_requests <= instances + 1.2 * bound_per_s * DURATION_S
 
     @pytest.mark.parametrize("instances", [8, 350])
-    def test_limit_falls(self, instances):
-        """From 50 to 0.5: nothing goes on until what was sent is a span ago."""
-        replay = Replay(instances, DEMAND_A_S * instances)
-        replay.play(20.0, 50.0)
-        fell = len(replay.sent_s)
-        replay.play(60.0, 0.5)
-        after = sorted(replay.sent_s[fell:])
+    def test_limit_is_lowered(self, instances):
+        """From 50 to 0.5: no permits until the earlier sends have left the window."""
+        replay = Replay(instances, DEMAND_PER_S * instances)
+        replay.run(20.0, 50.0)
+        sent_before = len(replay.sent_s)
+        replay.run(60.0, 0.5)
+        after = sorted(replay.sent_s[sent_before:])
         assert most_within(after, WINDOW_S) <= WINDOW_S * 0.5
         assert after[0] >= 20.0 + WINDOW_S
 
     @pytest.mark.parametrize("instances", [8, 350])
-    def test_long_time_without_demand(self, instances):
-        """Nothing is saved up beyond what is sent at once anyway."""
-        replay = Replay(instances, DEMAND_A_S * instances)
-        replay.play(10.0, 4.9)
-        replay.play(50.0, 4.9, is_quiet=True)
+    def test_idle_period(self, instances):
+        """No permits are accumulated beyond the normal burst."""
+        replay = Replay(instances, DEMAND_PER_S * instances)
+        replay.run(10.0, 4.9)
+        replay.run(50.0, 4.9, is_quiet=True)
         before = len(replay.sent_s)
-        replay.play(60.0, 4.9)
+        replay.run(60.0, 4.9)
         first = [at_s for at_s in replay.sent_s[before:] if at_s < 50.5]
-        assert replay.most() <= WINDOW_S * 4.9
+        assert replay.max_in_window() <= WINDOW_S * 4.9
         assert len(first) <= 2 + 0.5 * 4.9
 
     @pytest.mark.parametrize("seed", range(5))
     @pytest.mark.parametrize("per_s", [0.3, 2.4, 4.9, 50.0])
-    def test_keeper_goes(self, per_s, seed):
-        """Another takes over and knows nothing: within what servers tolerate."""
-        replay = Replay(8, DEMAND_A_S * 8, seed=seed)
+    def test_issuer_is_replaced(self, per_s, seed):
+        """A new issuer without state stays within the tolerance of servers."""
+        replay = Replay(8, DEMAND_PER_S * 8, seed=seed)
         for number in range(1, 8):
-            replay.play(7.0 * number, per_s)
-            replay.keeper = PermitIssuer(rng=replay.rng, now_s=7.0 * number)
-        tolerated = 1.5 * WINDOW_S * per_s + 5
-        assert replay.most() <= tolerated
+            replay.run(7.0 * number, per_s)
+            replay.issuer = PermitIssuer(rng=replay.rng, now_s=7.0 * number)
+        tolerance = 1.5 * WINDOW_S * per_s + 5
+        assert replay.max_in_window() <= tolerance
 
     def test_limit_of_zero(self):
-        """One request in half a minute finds out whether it still holds."""
-        replay = Replay(8, DEMAND_A_S * 8)
-        replay.play(120.0, 0.0)
+        """One request in half a minute detects whether the limit was lifted."""
+        replay = Replay(8, DEMAND_PER_S * 8)
+        replay.run(120.0, 0.0)
         assert len(replay.sent_s) in (3, 4)
         assert most_within(sorted(replay.sent_s), 1 / MIN_LIMIT_PER_S) <= 1
 
 
-class TestKeeper:
-    def test_nothing_is_due_when_a_limit_becomes_known(self):
-        """Others may have sent before, which nobody has counted."""
-        keeper = PermitIssuer(rng=random.Random(1), now_s=0.0)
-        assert not keeper.request("i1", 2.0, now_s=0.0).is_granted
-        assert not keeper.request("i1", 2.0, now_s=0.4).is_granted
-        assert keeper.request("i1", 2.0, now_s=0.5).is_granted
+class TestIssuer:
+    def test_no_permit_when_a_limit_becomes_known(self):
+        """Earlier sends of other instances were not counted."""
+        issuer = PermitIssuer(rng=random.Random(1), now_s=0.0)
+        assert not issuer.request("i1", 2.0, now_s=0.0).is_granted
+        assert not issuer.request("i1", 2.0, now_s=0.4).is_granted
+        assert issuer.request("i1", 2.0, now_s=0.5).is_granted
 
-    def test_wait_is_true(self):
-        """Who alone asks again when it was told gets a permit."""
-        keeper = PermitIssuer(rng=random.Random(1), now_s=0.0)
+    def test_retry_after_the_delay(self):
+        """A single requester that retries after the delay gets a permit."""
+        issuer = PermitIssuer(rng=random.Random(1), now_s=0.0)
         now_s = 0.0
         for _ in range(50):
-            reply = keeper.request("i1", 2.4, now_s=now_s)
+            reply = issuer.request("i1", 2.4, now_s=now_s)
             if not reply.is_granted:
                 now_s += reply.wait_s
-                assert keeper.request("i1", 2.4, now_s=now_s).is_granted
+                assert issuer.request("i1", 2.4, now_s=now_s).is_granted
 
-    def test_longest_wait(self):
-        """Nobody is told to stay away for good."""
-        keeper = PermitIssuer(rng=random.Random(1), now_s=0.0)
-        waits_s = [keeper.request(f"i{n}", 0.0, now_s=0.0).wait_s for n in range(350)]
+    def test_max_wait(self):
+        """The retry delay is bounded."""
+        issuer = PermitIssuer(rng=random.Random(1), now_s=0.0)
+        waits_s = [issuer.request(f"i{n}", 0.0, now_s=0.0).wait_s for n in range(350)]
         assert max(waits_s) <= 30.0
 
 
-class TestKeepers:
-    def test_most_kept(self, monkeypatch):
-        """The one that nobody asked for longest goes first."""
+class TestIssuers:
+    def test_max_servers(self, monkeypatch):
+        """The least recently used issuer is evicted first."""
         monkeypatch.setattr(limit_permits, "_MAX_SERVERS", 3)
-        keepers = PermitIssuers(random.Random(1))
+        issuers = PermitIssuers(random.Random(1))
         for number in range(9):
-            keepers.request(f"s{number}", "i1", 5.0, now_s=0.0)
-        assert sorted(keepers.granted_within(WINDOW_S, now_s=0.0)) == ["s6", "s7", "s8"]
-
-    def test_kept_for_longer_than_the_span(self):
-        """Who comes back within it finds what was given."""
-        keepers = PermitIssuers(random.Random(1))
-        keepers.request("s1", "i1", 5.0, now_s=0.0)
-        keepers.request("s2", "i1", 5.0, now_s=WINDOW_S + 1.0)
-        assert len(keepers) == 2
-        keepers.request("s2", "i1", 5.0, now_s=100.0)
-        assert len(keepers) == 1
-
-
-class TestStock:
-    def test_permit_that_was_not_used(self):
-        """The next request uses it, once, while it is good."""
-        stock = PermitCache()
-        stock.add("s1", Permit(1.0))
-        assert stock.pop("s1", now_s=0.5) == Permit(1.0)
-        assert stock.pop("s1", now_s=0.5) is None
-        stock.add("s1", Permit(1.0))
-        assert stock.pop("s1", now_s=1.0) is None
+            issuers.request(f"s{number}", "i1", 5.0, now_s=0.0)
+        assert sorted(issuers.granted_within(WINDOW_S, now_s=0.0)) == ["s6", "s7", "s8"]
+
+    def test_idle_issuer_outlives_the_window(self):
+        """Permits that were issued within the window are still counted."""
+        issuers = PermitIssuers(random.Random(1))
+        issuers.request("s1", "i1", 5.0, now_s=0.0)
+        issuers.request("s2", "i1", 5.0, now_s=WINDOW_S + 1.0)
+        assert len(issuers) == 2
+        issuers.request("s2", "i1", 5.0, now_s=100.0)
+        assert len(issuers) == 1
+
+
+class TestPermitCache:
+    def test_unused_permit(self):
+        """The next request uses it, once and until it expires."""
+        cache = PermitCache()
+        cache.add("s1", Permit(1.0))
+        assert cache.pop("s1", now_s=0.5) == Permit(1.0)
+        assert cache.pop("s1", now_s=0.5) is None
+        cache.add("s1", Permit(1.0))
+        assert cache.pop("s1", now_s=1.0) is None
 
     def test_several_permits(self):
-        stock = PermitCache()
+        cache = PermitCache()
         for until_s in (1.0, 2.0, 3.0):
-            stock.add("s1", Permit(until_s))
-        assert stock.pop("s1", now_s=1.5) == Permit(2.0)
-        assert stock.pop("s1", now_s=1.5) == Permit(3.0)
-
-    def test_more_urgent_requests_may_ask(self):
-        """What was refused says nothing of what goes before it."""
-        stock = PermitCache()
-        stock.block("s1", 2.0, priority=2, now_s=0.0)
-        assert stock.blocked_s(priority=1, now_s=0.5) == {}
-        assert stock.blocked_s(priority=2, now_s=0.5) == {"s1": 1.5}
-        stock.block("s1", 3.0, priority=1, now_s=0.0)
-        assert stock.blocked_s(priority=2, now_s=0.5) == {"s1": 2.5}
-
-    def test_longer_wait_counts(self):
-        stock = PermitCache()
-        stock.block("s1", 2.0, now_s=0.0)
-        stock.block("s1", 0.1, now_s=0.0)
-        assert stock.blocked_s(now_s=0.5) == {"s1": 1.5}
-        assert stock.blocked_s(now_s=2.0) == {}
-
-    def test_limit_is_over(self):
-        stock = PermitCache()
-        stock.block("s1", 2.0, now_s=0.0)
-        stock.record_use("s1", now_s=0.0)
-        stock.discard("s1")
-        assert stock.blocked_s(now_s=0.5) == {}
-        assert stock.used_within("s1", WINDOW_S, now_s=0.5) == 0
+            cache.add("s1", Permit(until_s))
+        assert cache.pop("s1", now_s=1.5) == Permit(2.0)
+        assert cache.pop("s1", now_s=1.5) == Permit(3.0)
+
+    def test_more_urgent_requests_are_not_blocked(self):
+        """A refusal doesn't block more urgent requests."""
+        cache = PermitCache()
+        cache.block("s1", 2.0, priority=2, now_s=0.0)
+        assert cache.blocked_s(priority=1, now_s=0.5) == {}
+        assert cache.blocked_s(priority=2, now_s=0.5) == {"s1": 1.5}
+        cache.block("s1", 3.0, priority=1, now_s=0.0)
+        assert cache.blocked_s(priority=2, now_s=0.5) == {"s1": 2.5}
+
+    def test_longer_wait_applies(self):
+        cache = PermitCache()
+        cache.block("s1", 2.0, now_s=0.0)
+        cache.block("s1", 0.1, now_s=0.0)
+        assert cache.blocked_s(now_s=0.5) == {"s1": 1.5}
+        assert cache.blocked_s(now_s=2.0) == {}
+
+    def test_limit_is_lifted(self):
+        cache = PermitCache()
+        cache.block("s1", 2.0, now_s=0.0)
+        cache.record_use("s1", now_s=0.0)
+        cache.discard("s1")
+        assert cache.blocked_s(now_s=0.5) == {}
+        assert cache.used_within("s1", WINDOW_S, now_s=0.5) == 0
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Runners that were silent are asked before they are used again."""
+"""Unresponsive runners are probed before they are used again."""
 
 from __future__ import annotations
 
@@ -19,77 +19,77 @@
 
 
 @pytest.fixture(autouse=True)
-def all_due(monkeypatch):
-    """Let each runner that rests be asked at each look."""
+def always_due(monkeypatch):
+    """Make each runner in cooldown due for a probe at each check."""
     monkeypatch.setattr(_health_checks, "_PROBE_INTERVAL_S", 0.0)
 
 
-def resting(routing, *, in_s=0.0):
-    """Return who rests, now or later."""
+def in_cooldown(routing, *, in_s=0.0):
+    """Return the runners in cooldown, now or later."""
     return routing.health.resting(now_s=clocks.now_s() + in_s)
 
 
-class TestRestWatch:
-    async def test_runner_that_answers_is_back(self):
-        """Its rest ends at once."""
+class TestHealthCheckLoop:
+    async def test_runner_that_responds_is_used_again(self):
+        """Its cooldown ends at once."""
         client = FakeClient()
         client.reports["a"] = report()
         routing = make_routing(client, A, B, rng=random.Random(1))
         for server in (A, B):
             routing.note_trouble(server, Trouble.SILENT, "r", "dead")
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
-        assert resting(routing) == {"b"}
+        assert in_cooldown(routing) == {"b"}
 
-    async def test_silent_runner_rests_on(self):
-        """No request has to find out that it is still dead."""
+    async def test_cooldown_of_a_silent_runner_is_extended(self):
+        """No request is used to detect that it is still unresponsive."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         routing.note_trouble(A, Trouble.SILENT, "r", "dead")
         routing.health.prolong("a", now_s=clocks.now_s() - 2.0)
-        ends_s = routing.settings.bounds.stall_s - 0.01
+        expires_in_s = routing.settings.bounds.stall_s - 0.01
         watch = HealthCheckLoop(routing, rng=random.Random(1))
         await asyncio.sleep(0.05)
-        assert resting(routing, in_s=ends_s) == set()
+        assert in_cooldown(routing, in_s=expires_in_s) == set()
         await watch.check()
-        assert resting(routing, in_s=ends_s) == {"a"}
+        assert in_cooldown(routing, in_s=expires_in_s) == {"a"}
 
-    async def test_rests_don_t_grow_for_ever(self):
-        """A runner that comes back is used again within the engines' own limit."""
+    async def test_cooldown_is_bounded(self):
+        """A runner that recovers is used again within the engines' own stall limit."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         routing.note_trouble(A, Trouble.SILENT, "r", "dead")
         for _ in range(9):
             await HealthCheckLoop(routing, rng=random.Random(1)).check()
-        longest_s = routing.settings.bounds.stall_s + 0.1
-        assert resting(routing, in_s=longest_s) == set()
+        max_s = routing.settings.bounds.stall_s + 0.1
+        assert in_cooldown(routing, in_s=max_s) == set()
 
     @pytest.mark.parametrize("trouble", [Trouble.NAMED, Trouble.FAILED, Trouble.FULL])
-    async def test_other_troubles_end_by_time(self, trouble):
-        """That a runner answers says nothing of them."""
+    async def test_other_troubles_expire(self, trouble):
+        """A response to a probe doesn't clear them."""
         client = FakeClient()
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
         routing.note_trouble(A, trouble, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
-        assert resting(routing) == {"a"}
+        assert in_cooldown(routing) == {"a"}
 
-    async def test_plain_servers_are_not_asked(self):
-        """They give no reports."""
+    async def test_plain_servers_are_not_probed(self):
+        """They provide no reports."""
         routing = make_routing(FakeClient(), plain_server("p"), rng=random.Random(1))
         routing.note_trouble(plain_server("p"), Trouble.SILENT, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
-        assert resting(routing, in_s=routing.settings.bounds.stall_s) == set()
+        assert in_cooldown(routing, in_s=routing.settings.bounds.stall_s) == set()
 
-    async def test_many_instances_ask_seldom(self, monkeypatch):
-        """What all of them ask together stays bounded."""
+    async def test_many_instances_probe_less_often(self, monkeypatch):
+        """The total rate of probes stays bounded."""
         monkeypatch.setattr(_health_checks, "_PROBE_INTERVAL_S", 0.05)
-        asked = []
+        probed = []
 
-        class AskedClient(FakeClient):
+        class ProbedClient(FakeClient):
             async def report(self, server):
-                asked.append(server.id)
+                probed.append(server.id)
 
-        for instances, most in ((1, 10), (80, 1)):
-            asked.clear()
-            routing = make_routing(AskedClient(), A, rng=random.Random(1))
+        for instances, max_probes in ((1, 10), (80, 1)):
+            probed.clear()
+            routing = make_routing(ProbedClient(), A, rng=random.Random(1))
             routing.instances = lambda count=instances: count
             routing.note_trouble(A, Trouble.SILENT, "r", "dead")
             watch = HealthCheckLoop(routing, rng=random.Random(1))
@@ -97,10 +97,10 @@
                 await watch.check()
                 routing.probes.forget("a")
                 await asyncio.sleep(0.06)
-            assert (len(asked) > 1) == (most > 1)
+            assert (len(probed) > 1) == (max_probes > 1)
 
-    async def test_slow_runner_is_asked_again(self, monkeypatch):
-        """Until it says that it is quick."""
+    async def test_slow_runner_is_probed_again(self, monkeypatch):
+        """A report of normal speed clears the slow state."""
         monkeypatch.setattr(runner_paces, "_ASK_AGAIN_S", 0.0)
         client = FakeClient()
         client.reports["a"] = report(slowness=1.0)
@@ -109,8 +109,8 @@
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert routing.paces.slow(now_s=clocks.now_s()) == {}
 
-    async def test_looks_go_on(self):
-        """The watch runs until it is cancelled."""
+    async def test_checks_continue(self):
+        """The loop runs until it is cancelled."""
         client = FakeClient()
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
@@ -120,7 +120,7 @@
         for _ in range(2):
             routing.note_trouble(A, Trouble.SILENT, "r", "dead")
             async with asyncio.timeout(5):
-                while resting(routing):
+                while in_cooldown(routing):
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.55)
         watch.cancel()
--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How long rests bind that servers have asked for, and how the load returns."""
+"""Duration of requested back-offs, and resumption of traffic after them."""
 
 from __future__ import annotations
 
@@ -17,232 +17,234 @@
 )
 
 
-def asked(length_s=3.0, *, started_ms=0):
-    """Return an instance that a server has asked for rest."""
-    words = ServerBackoffs(random.Random(1))
-    words.record("s1", length_s, started_ms=started_ms, request_id="c1", now_s=0.0)
-    return words
+def backing_off(duration_s=3.0, *, started_ms=0):
+    """Return the back-offs of an instance that received one from a server."""
+    backoffs = ServerBackoffs(random.Random(1))
+    backoffs.record("s1", duration_s, started_ms=started_ms, request_id="c1", now_s=0.0)
+    return backoffs
 
 
-def binds(words, now_s, *, server="s1", started_ms=0):
-    """Tell whether nothing may be sent to a server."""
-    return words.active(server, started_ms=started_ms, now_s=now_s) is not None
+def is_blocked(backoffs, now_s, *, server="s1", started_ms=0):
+    """Return whether sends to a server are blocked."""
+    return backoffs.active(server, started_ms=started_ms, now_s=now_s) is not None
 
 
-def is_avoided(words, now_s):
-    """Tell whether a server is sent to only where there is no other."""
-    rest = words.entries().get("s1")
-    return rest is not None and rest.is_avoided(now_s=now_s)
+def is_avoided(backoffs, now_s):
+    """Return whether a server is used only as a last resort."""
+    backoff = backoffs.entries().get("s1")
+    return backoff is not None and backoff.is_avoided(now_s=now_s)
 
 
-class TestRests:
-    def test_binds_for_the_time_asked(self):
-        """Not a moment less, nor longer than the spread of returns."""
-        words = asked(3.0)
-        assert binds(words, 0.0)
-        assert binds(words, 2.999)
-        assert not binds(words, 3.0)
-        assert not is_avoided(words, 3.0 + 3.0 * SPREAD_FRACTION)
+class TestBackoffs:
+    def test_blocks_for_the_requested_duration(self):
+        """It is never shorter, and longer by the jitter at most."""
+        backoffs = backing_off(3.0)
+        assert is_blocked(backoffs, 0.0)
+        assert is_blocked(backoffs, 2.999)
+        assert not is_blocked(backoffs, 3.0)
+        assert not is_avoided(backoffs, 3.0 + 3.0 * SPREAD_FRACTION)
 
-    def test_nothing_is_asked_with_zero(self):
-        """A server that asks for no time may be sent to at once."""
-        assert not asked(0.0).entries()
+    def test_zero_is_no_backoff(self):
+        """A back-off of zero blocks nothing."""
+        assert not backing_off(0.0).entries()
 
-    def test_longer_one_lasts(self):
-        """A shorter rest that is asked for meanwhile shortens nothing."""
-        words = asked(3.0)
-        assert not words.record("s1", 1.0, request_id="c2", now_s=1.0)
-        assert binds(words, 2.9)
-        assert words.record("s1", 5.0, request_id="c3", now_s=1.0)
-        assert binds(words, 5.9)
-        assert words.active("s1", now_s=2.0).request_id == "c3"
+    def test_longer_backoff_applies(self):
+        """A shorter back-off in the meantime doesn't shorten it."""
+        backoffs = backing_off(3.0)
+        assert not backoffs.record("s1", 1.0, request_id="c2", now_s=1.0)
+        assert is_blocked(backoffs, 2.9)
+        assert backoffs.record("s1", 5.0, request_id="c3", now_s=1.0)
+        assert is_blocked(backoffs, 5.9)
+        assert backoffs.active("s1", now_s=2.0).request_id == "c3"
 
-    def test_success_under_way_ends_nothing(self):
-        """What was sent before may well be answered."""
-        words = asked(3.0)
-        words.record_response("s1", now_s=1.0)
-        assert binds(words, 2.9)
+    def test_response_in_flight_is_ignored(self):
+        """A response to an earlier request doesn't end the back-off."""
+        backoffs = backing_off(3.0)
+        backoffs.record_response("s1", now_s=1.0)
+        assert is_blocked(backoffs, 2.9)
 
-    def test_other_servers_are_free(self):
-        """A word is about who has said it."""
-        assert not binds(asked(3.0), 1.0, server="s2")
+    def test_other_servers_are_not_blocked(self):
+        """A back-off applies to one server."""
+        assert not is_blocked(backing_off(3.0), 1.0, server="s2")
 
 
 class TestStarts:
-    def test_new_start_is_free(self):
-        """What an earlier process wanted says nothing of the next one."""
-        words = asked(3.0, started_ms=5)
-        assert binds(words, 1.0, started_ms=5)
-        assert not binds(words, 1.0, started_ms=9)
-
-    def test_late_word_of_an_earlier_start(self):
-        """It neither replaces the new start's rest nor binds."""
-        words = asked(3.0, started_ms=9)
-        assert not words.record("s1", 60.0, started_ms=5, now_s=1.0)
-        assert not binds(words, 3.5, started_ms=9)
-
-    def test_new_start_answers_before_the_list_tells_of_it(self):
-        """What was asked after its birth is its word, whatever was listed then."""
-        words = ServerBackoffs(random.Random(1))
-        words.record("s1", 3.0, started_ms=5, sent_ms=12, now_s=0.0)
-        assert binds(words, 1.0, started_ms=5)
-        assert binds(words, 1.0, started_ms=9)
-        assert not binds(words, 1.0, started_ms=20)
-
-    def test_shorter_word_of_a_start_that_is_not_listed_yet(self):
-        """It stands behind a longer one of the start before."""
-        words = ServerBackoffs(random.Random(1))
-        words.record("s1", 3.0, started_ms=5, sent_ms=7, now_s=0.0)
-        assert not words.record("s1", 1.0, started_ms=5, sent_ms=12, now_s=0.5)
-        assert binds(words, 1.4, started_ms=9)
-
-    def test_longer_word_of_the_start_before_that_comes_late(self):
-        """It takes nothing from the start that is not listed yet."""
-        words = ServerBackoffs(random.Random(1))
-        words.record("s1", 1.0, started_ms=5, sent_ms=12, now_s=0.0)
-        assert words.record("s1", 3.0, started_ms=5, sent_ms=7, now_s=0.1)
-        assert binds(words, 0.9, started_ms=9)
-
-    def test_word_that_is_read_after_the_list_has_told(self):
-        """It is the new start's if it was asked for after its birth."""
-        words = asked(1.0, started_ms=9)
-        assert words.record("s1", 3.0, started_ms=5, sent_ms=12, now_s=0.5)
-        assert binds(words, 3.4, started_ms=9)
-
-    def test_starts_that_are_not_told_apart(self):
-        """Where a start is not told the rest stands: it is the same id."""
-        words = asked(3.0)
-        assert binds(words, 1.0, started_ms=9)
-
-
-class TestReturn:
-    def test_one_request_goes_first(self):
-        """Others are to go elsewhere until it was answered."""
-        words = asked(3.0)
-        back_s = 3.0 + 3.0 * SPREAD_FRACTION
-        assert not is_avoided(words, back_s)
-        words.record_send("s1", now_s=back_s)
-        assert is_avoided(words, back_s + 0.1)
-        words.record_response("s1", now_s=back_s + 0.2)
-        assert not words.entries()
-
-    def test_first_request_that_is_lost(self):
-        """It is waited for only so long; then the next one goes."""
-        words = asked(3.0)
-        words.record_send("s1", now_s=4.0)
-        assert is_avoided(words, 4.0 + PROBE_TIMEOUT_S - 0.01)
-        assert not is_avoided(words, 4.0 + PROBE_TIMEOUT_S)
-        words.record_send("s1", now_s=6.0)
-        assert is_avoided(words, 6.5)
-
-    def test_first_request_that_is_refused(self):
-        """The next rest begins."""
-        words = asked(3.0)
-        words.record_send("s1", now_s=4.0)
-        words.record("s1", 3.0, request_id="c2", now_s=4.01)
-        assert binds(words, 7.0)
-
-    def test_spread_is_bounded(self):
-        """A rest of an hour is over some seconds after the hour at the latest."""
-        assert not is_avoided(asked(3_600.0), 3_600.0 + MAX_SPREAD_S)
-
-
-def test_bound_on_what_is_kept():
-    """Many servers' rests take bounded room; the soonest to end go first."""
-    words = ServerBackoffs(random.Random(1))
+    def test_new_start_is_not_blocked(self):
+        """The back-off of a previous process doesn't apply to its successor."""
+        backoffs = backing_off(3.0, started_ms=5)
+        assert is_blocked(backoffs, 1.0, started_ms=5)
+        assert not is_blocked(backoffs, 1.0, started_ms=9)
+
+    def test_late_backoff_of_a_previous_start(self):
+        """It neither replaces the new start's back-off nor blocks."""
+        backoffs = backing_off(3.0, started_ms=9)
+        assert not backoffs.record("s1", 60.0, started_ms=5, now_s=1.0)
+        assert not is_blocked(backoffs, 3.5, started_ms=9)
+
+    def test_backoff_of_a_start_that_is_not_listed_yet(self):
+        """A response to a request after the restart comes from the new start."""
+        backoffs = ServerBackoffs(random.Random(1))
+        backoffs.record("s1", 3.0, started_ms=5, sent_ms=12, now_s=0.0)
+        assert is_blocked(backoffs, 1.0, started_ms=5)
+        assert is_blocked(backoffs, 1.0, started_ms=9)
+        assert not is_blocked(backoffs, 1.0, started_ms=20)
+
+    def test_shorter_backoff_of_a_start_that_is_not_listed_yet(self):
+        """It remains valid behind a longer one of the previous start."""
+        backoffs = ServerBackoffs(random.Random(1))
+        backoffs.record("s1", 3.0, started_ms=5, sent_ms=7, now_s=0.0)
+        assert not backoffs.record("s1", 1.0, started_ms=5, sent_ms=12, now_s=0.5)
+        assert is_blocked(backoffs, 1.4, started_ms=9)
+
+    def test_longer_late_backoff_of_the_previous_start(self):
+        """It doesn't remove the one of the start that is not listed yet."""
+        backoffs = ServerBackoffs(random.Random(1))
+        backoffs.record("s1", 1.0, started_ms=5, sent_ms=12, now_s=0.0)
+        assert backoffs.record("s1", 3.0, started_ms=5, sent_ms=7, now_s=0.1)
+        assert is_blocked(backoffs, 0.9, started_ms=9)
+
+    def test_backoff_that_is_processed_after_the_list_update(self):
+        """It is the new start's if the request was sent after the restart."""
+        backoffs = backing_off(1.0, started_ms=9)
+        assert backoffs.record("s1", 3.0, started_ms=5, sent_ms=12, now_s=0.5)
+        assert is_blocked(backoffs, 3.4, started_ms=9)
+
+    def test_unknown_start(self):
+        """Without a start time the back-off applies to the server's id."""
+        backoffs = backing_off(3.0)
+        assert is_blocked(backoffs, 1.0, started_ms=9)
+
+
+class TestResumption:
+    def test_one_probe_request(self):
+        """Others use different servers until it is answered."""
+        backoffs = backing_off(3.0)
+        resumes_s = 3.0 + 3.0 * SPREAD_FRACTION
+        assert not is_avoided(backoffs, resumes_s)
+        backoffs.record_send("s1", now_s=resumes_s)
+        assert is_avoided(backoffs, resumes_s + 0.1)
+        backoffs.record_response("s1", now_s=resumes_s + 0.2)
+        assert not backoffs.entries()
+
+    def test_probe_request_that_is_lost(self):
+        """After a timeout the next request is the probe."""
+        backoffs = backing_off(3.0)
+        backoffs.record_send("s1", now_s=4.0)
+        assert is_avoided(backoffs, 4.0 + PROBE_TIMEOUT_S - 0.01)
+        assert not is_avoided(backoffs, 4.0 + PROBE_TIMEOUT_S)
+        backoffs.record_send("s1", now_s=6.0)
+        assert is_avoided(backoffs, 6.5)
+
+    def test_probe_request_that_is_rejected(self):
+        """It starts the next back-off."""
+        backoffs = backing_off(3.0)
+        backoffs.record_send("s1", now_s=4.0)
+        backoffs.record("s1", 3.0, request_id="c2", now_s=4.01)
+        assert is_blocked(backoffs, 7.0)
+
+    def test_jitter_is_bounded(self):
+        """A back-off of an hour ends a few seconds after the hour at the latest."""
+        assert not is_avoided(backing_off(3_600.0), 3_600.0 + MAX_SPREAD_S)
+
+
+def test_max_backoffs():
+    """The memory for back-offs is bounded; the first to expire are evicted."""
+    backoffs = ServerBackoffs(random.Random(1))
     for n in range(MAX_BACKOFFS + 50):
-        words.record(f"s{n}", 10.0 + n, now_s=0.0)
-    assert len(words) == MAX_BACKOFFS
-    assert "s0" not in words.entries()
-    assert f"s{MAX_BACKOFFS + 49}" in words.entries()
+        backoffs.record(f"s{n}", 10.0 + n, now_s=0.0)
+    assert len(backoffs) == MAX_BACKOFFS
+    assert "s0" not in backoffs.entries()
+    assert f"s{MAX_BACKOFFS + 49}" in backoffs.entries()
 
 
-def test_rests_that_nobody_tries_are_forgotten():
-    """A server that was asked once and is gone costs no room for good."""
-    words = asked(3.0)
-    words.record("s2", 3.0, now_s=100.0)
-    assert set(words.entries()) == {"s2"}
+def test_backoffs_without_a_probe_expire():
+    """The back-off of a server that was removed doesn't leak."""
+    backoffs = backing_off(3.0)
+    backoffs.record("s2", 3.0, now_s=100.0)
+    assert set(backoffs.entries()) == {"s2"}
 
 
-class _Resting:
-    """A server that refuses all for some time, then takes what it has room for.
+class _RejectingServer:
+    """A server that rejects all requests for some time, then up to its capacity.
 
     Args:
-        env: Its time.
-        away_s: Until when it refuses all, in seconds.
-        room: How many requests it runs at a time.
+        env: The simulation.
+        rejects_until_s: Time until which it rejects all requests, in seconds.
+        capacity: Maximum number of concurrent requests.
     """
 
-    def __init__(self, env, *, away_s, room):
+    def __init__(self, env, *, rejects_until_s, capacity):
         self.env = env
-        self.away_s = away_s
-        self.room = room
+        self.rejects_until_s = rejects_until_s
+        self.capacity = capacity
         self.running = 0
-        self.arrived_s = []
-        self.refused_s = []
-        self.in_rest = 0
-
-    def take(self):
-        """Take a request; tell whether it is run."""
-        self.arrived_s.append(self.env.now)
-        if self.env.now < self.away_s or self.running >= self.room:
-            self.refused_s.append(self.env.now)
+        self.arrivals_s = []
+        self.rejections_s = []
+        self.during_backoff = 0
+
+    def accept(self):
+        """Process a request; return whether it is accepted."""
+        self.arrivals_s.append(self.env.now)
+        if self.env.now < self.rejects_until_s or self.running >= self.capacity:
+            self.rejections_s.append(self.env.now)
             return False
         self.running += 1
         return True
 
 
-def _instance(env, server, words, *, every_s, rng):
-    """Let requests come; where the server is avoided they go elsewhere."""
+def _instance(env, server, backoffs, *, interval_s, rng):
+    """Generate requests, and skip them while the server is avoided."""
     while True:
-        yield env.timeout(rng.expovariate(1.0 / every_s))
-        rest = words.entries().get("s1")
-        if rest is not None and rest.is_avoided(now_s=env.now):
+        yield env.timeout(rng.expovariate(1.0 / interval_s))
+        backoff = backoffs.entries().get("s1")
+        if backoff is not None and backoff.is_avoided(now_s=env.now):
             continue
-        words.record_send("s1", now_s=env.now)
-        env.process(_request(env, server, words))
+        backoffs.record_send("s1", now_s=env.now)
+        env.process(_request(env, server, backoffs))
 
 
-def _request(env, server, words):
-    """Let a request go there and back."""
+def _request(env, server, backoffs):
+    """Send a request to the server, and process the response."""
     yield env.timeout(0.002)
-    server.in_rest += words.active("s1", now_s=env.now) is not None
-    is_run = server.take()
+    server.during_backoff += backoffs.active("s1", now_s=env.now) is not None
+    is_accepted = server.accept()
     yield env.timeout(0.002)
-    if not is_run:
-        words.record("s1", 3.0, request_id="", now_s=env.now)
+    if not is_accepted:
+        backoffs.record("s1", 3.0, request_id="", now_s=env.now)
         return
-    words.record_response("s1", now_s=env.now)
+    backoffs.record_response("s1", now_s=env.now)
     yield env.timeout(0.5)
     server.running -= 1
 
 
 @pytest.mark.parametrize("instances", [8, 350])
 @pytest.mark.parametrize("seed", range(3))
-def test_replay_of_a_server_that_turns_all_away(instances, seed):
-    """Load pattern: a server refuses all for 7 s, then has room for the usual load.
+def test_replay_of_a_server_that_rejects_all_requests(instances, seed):
+    """Load: a server rejects all requests for 7 s, then accepts the usual load.
 
-    Requests for it are 40 a second in all at 8 instances, 1,750 at 350. All that
-    arrives within a rest was under way when the word came, each instance has at most
-    one refused at each of two returns, and these don't come all at once.
+    It is 40 requests a second in total at 8 instances, 1,750 at 350. Requests that
+    arrive within a back-off were in flight when it was received, at most one request of
+    each instance is rejected in each of two probe phases, and these are spread out.
     """
     env = simpy.Environment()
     rng = random.Random(seed)
-    every_s = 0.2
-    server = _Resting(env, away_s=7.0, room=int(instances / every_s))
+    interval_s = 0.2
+    server = _RejectingServer(
+        env, rejects_until_s=7.0, capacity=int(instances / interval_s)
+    )
     for _ in range(instances):
-        words = ServerBackoffs(random.Random(rng.random()))
-        env.process(_instance(env, server, words, every_s=every_s, rng=rng))
+        backoffs = ServerBackoffs(random.Random(rng.random()))
+        env.process(_instance(env, server, backoffs, interval_s=interval_s, rng=rng))
     env.run(until=14.0)
-    first = [at_s for at_s in server.refused_s if at_s < 2.0]
-    later = [at_s for at_s in server.refused_s if at_s >= 2.0]
-    assert server.in_rest <= 0.1 * len(first)
-    # Returns are due from 3 and from 6 s on; the last ones come to one with room.
-    assert len(later) <= 2 * instances
-    back = [at_s for at_s in server.arrived_s if at_s >= 12.0]
-    assert len(back) >= 0.7 * 2.0 * instances / every_s
-    busiest = max(
-        sum(start_s <= at_s < start_s + 0.25 for at_s in server.arrived_s)
+    first = [at_s for at_s in server.rejections_s if at_s < 2.0]
+    repeated = [at_s for at_s in server.rejections_s if at_s >= 2.0]
+    assert server.during_backoff <= 0.1 * len(first)
+    # Probes are due from 3 s and from 6 s on; the last ones find free capacity.
+    assert len(repeated) <= 2 * instances
+    resumed = [at_s for at_s in server.arrivals_s if at_s >= 12.0]
+    assert len(resumed) >= 0.7 * 2.0 * instances / interval_s
+    max_arrivals = max(
+        sum(start_s <= at_s < start_s + 0.25 for at_s in server.arrivals_s)
         for start_s in (2.5 + 0.05 * n for n in range(30))
     )
-    assert busiest <= 0.6 * instances + 5
+    assert max_arrivals <= 0.6 * instances + 5
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""All ways to a server keep to what it has said of itself."""
+"""Flow control applies to every kind of send to a server."""
 
 from __future__ import annotations
 
@@ -48,14 +48,14 @@
 )
 
 
-REST = ServerSignals(status=503, backoff_s=30.0, is_binding=True)
-LEAVES = ServerSignals(status=200, is_leaving=True)
-WAYS = ["call", "report", "move", "order"]
+BACKOFF = ServerSignals(status=503, backoff_s=30.0, is_binding=True)
+LEAVING = ServerSignals(status=200, is_leaving=True)
+SEND_KINDS = ["call", "report", "move", "order"]
 
 
 @pytest.fixture
-def lines(monkeypatch):
-    """Provide the lines that are logged, by their event."""
+def log_lines(monkeypatch):
+    """Provide the logged events and their fields."""
     logged = []
     monkeypatch.setattr(
         log_events, "log", lambda event, **fields: logged.append((event, fields))
@@ -63,9 +63,9 @@
     return logged
 
 
-def lines_of(lines, event):
-    """Return the fields of an event's lines."""
-    return [fields for one, fields in lines if one is event]
+def fields_of(log_lines, event):
+    """Return the fields of each log line of an event."""
+    return [fields for logged, fields in log_lines if logged is event]
 
 
 def path_of(server):
@@ -79,8 +79,8 @@
     return Send(call, server, path_of(server), call.deadline_s, 1, None, None, is_fresh)
 
 
-async def try_way(client, server, how):
-    """Try one of the ways to a server; tell whether it was kept back."""
+async def is_rejected(client, server, how):
+    """Send to a server in one of the ways; return whether that is rejected."""
     try:
         if how == "call":
             (await client.send(send_to(server))).close(is_whole=False)
@@ -98,21 +98,29 @@
     return order.outcome is OrderOutcome.KEPT_BACK
 
 
-class TestEveryWay:
-    @pytest.mark.parametrize("how", WAYS)
-    async def test_keeps_to_a_rest(self, how):
-        """Nothing is written, and the caller of it learns that."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed
-            made[0].router.routing.flow_control.record_signals(one, REST, "c0")
-            assert await try_way(made[0].client, one, how)
+class TestAllSends:
+    @pytest.mark.parametrize("how", SEND_KINDS)
+    async def test_backoff_blocks(self, how):
+        """Nothing is written, and the caller gets the rejection."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server = servers[0].listed
+            machines[0].router.routing.flow_control.record_signals(
+                server, BACKOFF, "c0"
+            )
+            assert await is_rejected(machines[0].client, server, how)
             assert servers[0].arrived == []
 
-    @pytest.mark.parametrize("how", WAYS)
-    async def test_is_open_without_a_word(self, how):
-        """What is tested above reaches the server otherwise."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            assert not await try_way(made[0].client, servers[0].listed, how)
+    @pytest.mark.parametrize("how", SEND_KINDS)
+    async def test_no_backoff(self, how):
+        """Without a back-off each kind of send reaches the server."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            assert not await is_rejected(machines[0].client, servers[0].listed, how)
             assert len(servers[0].arrived) == 1
 
     @pytest.mark.parametrize(
@@ -124,66 +132,89 @@
             ("report", False, False),
         ],
     )
-    async def test_to_a_server_that_leaves(self, how, at_once, later):
-        """New work ends at once, moves with the bound; questions are no work."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed
-            made[0].router.routing.flow_control.record_signals(one, LEAVES, "c0")
-            assert await try_way(made[0].client, one, how) is at_once
+    async def test_server_that_is_shutting_down(self, how, at_once, later):
+        """New work is rejected at once, moves after the grace period, reports never."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server = servers[0].listed
+            machines[0].router.routing.flow_control.record_signals(
+                server, LEAVING, "c0"
+            )
+            assert await is_rejected(machines[0].client, server, how) is at_once
             await asyncio.sleep(LEAVING_S)
-            assert await try_way(made[0].client, one, how) is later
-
-    async def test_to_a_server_that_is_gone(self):
-        """A send that was decided before the entry went is not written."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed
-            made[0].list({one.id: None})
-            assert await try_way(made[0].client, one, "call")
+            assert await is_rejected(machines[0].client, server, how) is later
+
+    async def test_server_that_is_no_longer_listed(self):
+        """A send that was scheduled before the entry was removed is not written."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server = servers[0].listed
+            machines[0].list({server.id: None})
+            assert await is_rejected(machines[0].client, server, "call")
             assert servers[0].arrived == []
 
-    async def test_connection_is_used_on(self):
-        """What is kept back right before the write costs no connection."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one, client = servers[0].listed, made[0].client
-            (await client.send(send_to(one))).close(is_whole=True)
+    async def test_connection_is_reused(self):
+        """A rejection right before the write doesn't close the connection."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server, client = servers[0].listed, machines[0].client
+            (await client.send(send_to(server))).close(is_whole=True)
             await asyncio.sleep(0.05)
-            gate = client.gate
-            looks = iter([None, KeptBackError("rest", 1.0)])
-            client.gate = _Scripted(looks)
+            flow_control = client.gate
+            outcomes = iter([None, KeptBackError("rest", 1.0)])
+            client.gate = _ScriptedFlowControl(outcomes)
             with pytest.raises(KeptBackError):
-                await client.send(send_to(one, call_id="c2"))
-            client.gate = gate
-            (await client.send(send_to(one, call_id="c3"))).close(is_whole=True)
+                await client.send(send_to(server, call_id="c2"))
+            client.gate = flow_control
+            (await client.send(send_to(server, call_id="c3"))).close(is_whole=True)
             assert [what for what, _ in servers[0].arrived] == ["c1", "c3"]
             assert servers[0].connections == 1
 
-    async def test_rests_of_a_new_start(self):
-        """A server that has started again is free; who is listed decides."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed._replace(started_ms=5)
-            made[0].list({one.id: one})
-            made[0].router.routing.flow_control.record_signals(one, REST, "c0")
-            assert await try_way(made[0].client, one, "call")
-            made[0].list({one.id: one._replace(started_ms=9)})
-            assert not await try_way(made[0].client, one, "call")
-
-    async def test_entry_that_goes_and_comes_back(self):
-        """A rest and a departure stand, whatever the list does meanwhile."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one, two = servers[0].listed, servers[1].listed
-            made[0].router.routing.flow_control.record_signals(one, REST, "c0")
-            made[0].router.routing.flow_control.record_signals(two, LEAVES, "c0")
-            made[0].list({one.id: None, two.id: None})
-            made[0].list({one.id: one, two.id: two})
-            assert await try_way(made[0].client, one, "call")
-            assert await try_way(made[0].client, two, "call")
-
-
-class _Scripted:
-    """A gate that lets through, or keeps back, as its script says."""
-
-    def __init__(self, looks):
-        self.looks = looks
+    async def test_backoff_of_a_previous_start(self):
+        """A back-off doesn't apply to a new start, once that is listed."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server = servers[0].listed._replace(started_ms=5)
+            machines[0].list({server.id: server})
+            machines[0].router.routing.flow_control.record_signals(
+                server, BACKOFF, "c0"
+            )
+            assert await is_rejected(machines[0].client, server, "call")
+            machines[0].list({server.id: server._replace(started_ms=9)})
+            assert not await is_rejected(machines[0].client, server, "call")
+
+    async def test_entry_that_is_removed_and_added(self):
+        """Back-offs and shutdowns stay in force when an entry is removed and added."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server, second_server = servers[0].listed, servers[1].listed
+            machines[0].router.routing.flow_control.record_signals(
+                server, BACKOFF, "c0"
+            )
+            machines[0].router.routing.flow_control.record_signals(
+                second_server, LEAVING, "c0"
+            )
+            machines[0].list({server.id: None, second_server.id: None})
+            machines[0].list({server.id: server, second_server.id: second_server})
+            assert await is_rejected(machines[0].client, server, "call")
+            assert await is_rejected(machines[0].client, second_server, "call")
+
+
+class _ScriptedFlowControl:
+    """Flow control that accepts or rejects sends by a script."""
+
+    def __init__(self, outcomes):
+        self.outcomes = outcomes
 
     async def admit(self, _server, _sending, _request_id, *, priority):
         return None
@@ -192,82 +223,93 @@
         assert not was_written
 
     def check_send(self, _server, _sending, _request_id, _permit):
-        error = next(self.looks)
+        error = next(self.outcomes)
         if error is not None:
             raise error
 
-    def record_signals(self, _server, _word, _request_id):
+    def record_signals(self, _server, _signals, _request_id):
         pass
 
 
 class TestCallers:
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-    async def test_all_rest(self, path, lines):
-        """The answer comes at once: not run, and when the first rest ends."""
-        async with servers_and_machines(first_choice(path)) as (servers, made):
-            gate = made[0].router.routing.flow_control
+    async def test_all_servers_back_off(self, path, log_lines):
+        """The error is immediate: not run, retry when the first back-off expires."""
+        async with servers_and_machines(first_choice(path)) as (servers, machines):
+            flow_control = machines[0].router.routing.flow_control
             for number, server in enumerate(servers):
-                word = REST._replace(backoff_s=20.0 - number)
-                gate.record_signals(server.listed, word, f"c{number}")
+                signals = BACKOFF._replace(backoff_s=20.0 - number)
+                flow_control.record_signals(server.listed, signals, f"c{number}")
             async with watched_lag() as lag:
                 started_s = clocks.now_s()
-                error = await made[0].ask(path=path)
+                error = await machines[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
             assert took_s < 0.1 + lag.most_s
             assert (error.code, error.ran) == (OverloadedError.code, "no")
             first_s = 20.0 - (len(servers) - 1)
             assert first_s - 0.2 <= error.retry_after_s <= first_s + 1.5
             assert all(server.arrived == [] for server in servers)
-            (line,) = lines_of(lines, log_events.SERVERS_REST)
+            (line,) = fields_of(log_lines, log_events.SERVERS_REST)
             assert line["resting"] == len(servers)
             assert {rest["said_to"] for rest in line["rests"]} == {
                 f"c{n}" for n in range(len(servers))
             }
 
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-    async def test_who_does_not_rest_serves(self, path):
-        """Nobody is turned away, and no retry spent, while one has room."""
-        async with servers_and_machines(first_choice(path)) as (servers, made):
+    async def test_available_server_is_used(self, path):
+        """No caller is rejected, and no retry spent, while a server is available."""
+        async with servers_and_machines(first_choice(path)) as (servers, machines):
             for server in servers[:-1]:
-                made[0].router.routing.flow_control.record_signals(
-                    server.listed, REST, "c0"
+                machines[0].router.routing.flow_control.record_signals(
+                    server.listed, BACKOFF, "c0"
                 )
-            got = await made[0].keep_asking(every_s=0.01, for_s=0.3, path=path)
-            assert all(one.end == "whole" for one in got)
+            responses = await machines[0].keep_asking(
+                every_s=0.01, for_s=0.3, path=path
+            )
+            assert all(response.end == "whole" for response in responses)
             assert all(server.arrived == [] for server in servers[:-1])
 
-    async def test_guess_gives_way_to_a_promise(self):
-        """A server that was slow is used rather than one that asked for rest."""
-        async with servers_and_machines(first_choice("/label/1")) as (servers, made):
-            routing = made[0].router.routing
-            routing.flow_control.record_signals(servers[0].listed, REST, "c0")
+    async def test_cooldown_is_preferred_to_a_backoff(self):
+        """A server in cooldown is preferred to one that requested a back-off."""
+        async with servers_and_machines(first_choice("/label/1")) as (
+            servers,
+            machines,
+        ):
+            routing = machines[0].router.routing
+            routing.flow_control.record_signals(servers[0].listed, BACKOFF, "c0")
             routing.health.note("s2", Trouble.SILENT, now_s=clocks.now_s())
-            assert (await made[0].ask(path="/label/1")).end == "whole"
+            assert (await machines[0].ask(path="/label/1")).end == "whole"
             assert servers[0].arrived == []
 
-    async def test_who_has_refused_is_not_asked_again(self):
-        """Without a figure a call is still not sent to the same server twice."""
-        async with servers_and_machines(first_choice("/label/1")) as (servers, made):
+    async def test_rejecting_server_is_not_retried(self):
+        """After a back-off of zero, too, a call is sent to each server only once."""
+        async with servers_and_machines(first_choice("/label/1")) as (
+            servers,
+            machines,
+        ):
             for server in servers:
                 server.asks_for = "0"
-            error = await made[0].ask(path="/label/1")
+            error = await machines[0].ask(path="/label/1")
             assert error.ran == "no"
             assert [len(server.arrived) for server in servers] == [1, 1]
 
-    async def test_wish_gives_way(self):
-        """A server that limits what it gets is used where there is no other."""
-        wish = ServerSignals(status=429, backoff_s=1.0)
-        async with servers_and_machines(first_choice("/label/1")) as (servers, made):
-            routing = made[0].router.routing
-            routing.flow_control.record_signals(servers[0].listed, wish, "c0")
-            await made[0].ask(path="/label/1")
+    async def test_advisory_backoff(self):
+        """A server with an advisory back-off is used as a last resort."""
+        advisory = ServerSignals(status=429, backoff_s=1.0)
+        async with servers_and_machines(first_choice("/label/1")) as (
+            servers,
+            machines,
+        ):
+            routing = machines[0].router.routing
+            routing.flow_control.record_signals(servers[0].listed, advisory, "c0")
+            await machines[0].ask(path="/label/1")
             assert [len(server.arrived) for server in servers] == [0, 1]
-            routing.flow_control.record_signals(servers[1].listed, REST, "c0")
-            await made[0].ask(path="/label/1")
+            routing.flow_control.record_signals(servers[1].listed, BACKOFF, "c0")
+            await machines[0].ask(path="/label/1")
             assert [len(server.arrived) for server in servers] == [1, 1]
 
-    async def test_retry_of_a_send_that_was_kept_back_is_returned(self):
-        """Only what reaches a server is paid for."""
+    async def test_retry_of_a_rejected_send_is_refunded(self):
+        """Only sends that reach a server use the retry budget."""
         a, b = runner("a", 0, 80, kind="large"), runner("b", 0, 80)
         client = FakeClient(
             refused(), KeptBackError("rest", 1.0), FakeAnswer(events(1))
@@ -283,8 +325,8 @@
             before - 1.0
         )
 
-    async def test_sends_that_are_kept_back_end(self):
-        """A gate that keeps all back makes no endless loop."""
+    async def test_rejected_sends_terminate(self):
+        """Permanent rejection doesn't cause an endless loop."""
         a = runner("a", 0, 80, kind="large")
         client = FakeClient(*(KeptBackError("rest", 1.0) for _ in range(20)))
         routing = make_routing(client, a, rng=random.Random(1))
@@ -294,13 +336,15 @@
 
 
 class TestPaths:
-    def test_later_servers_rest_is_kept_too(self):
-        """The first one has answered for it: both are left alone."""
+    def test_backoff_of_a_later_server(self):
+        """The first server relays its back-off, which blocks both."""
         head, tail = runner("head", 0, 40), runner("tail", 40, 80)
-        all_ = runner("all", 0, 80, kind="small")
-        routing = make_routing(FakeClient(), head, tail, all_, rng=random.Random(1))
-        routing.flow_control.record_signals(head, REST, "c0")
-        refusal = Refusal(tail.address, False, REST)
+        full_path_runner = runner("all", 0, 80, kind="small")
+        routing = make_routing(
+            FakeClient(), head, tail, full_path_runner, rng=random.Random(1)
+        )
+        routing.flow_control.record_signals(head, BACKOFF, "c0")
+        refusal = Refusal(tail.address, False, BACKOFF)
         routing.note_refusal("tail", refusal, "c0", is_told_by_other=True)
         assert set(routing.flow_control.blocked_s(now_s=clocks.now_s())) == {
             "head",
@@ -308,8 +352,8 @@
         }
         assert routing.path(admitted().service).server_ids == {"all"}
 
-    def test_what_is_under_way_at_a_resting_server_stays(self):
-        """A move around another runner doesn't leave it: it has the request."""
+    def test_running_request_stays_on_a_blocked_server(self):
+        """A move around another runner stays on it: it already runs the request."""
         head, tail = runner("head", 0, 40), runner("tail", 60, 80)
         lost, spare = runner("lost", 40, 60), runner("spare", 40, 60)
         other = runner("other", 40, 80, kind="small")
@@ -318,14 +362,14 @@
         )
         service = admitted().service
         kept = routing.path(service, avoided=frozenset({"spare", "other"}))
-        routing.flow_control.record_signals(tail, REST, "c0")
+        routing.flow_control.record_signals(tail, BACKOFF, "c0")
         moved = routing.path(
             service, avoided=frozenset({"lost"}), first=head, kept=kept
         )
         assert moved.server_ids == {"head", "spare", "tail"}
 
-    async def test_stream_behind_a_resting_first_runner_goes_on_elsewhere(self):
-        """Its move may not be asked for there: another run goes on, without waiting."""
+    async def test_stream_behind_a_blocked_first_runner_is_rerun(self):
+        """The move can't be requested there: a second run continues without delay."""
         head = runner("head", 0, 40, kind="large")
         tail = runner("tail", 40, 80, kind="large")
         spare = runner("spare", 40, 80, kind="small")
@@ -341,11 +385,11 @@
             "spare": report(),
             "other": report(),
         }
-        client.repath = _kept_back_moves(routing, client)
+        client.repath = _checked_moves(routing, client)
         responder = FakeResponder()
         stream = StreamCall(routing, make_call(), admitted())
         asyncio.get_running_loop().call_later(
-            0.01, routing.flow_control.record_signals, head, REST, "c0"
+            0.01, routing.flow_control.record_signals, head, BACKOFF, "c0"
         )
         async with asyncio.timeout(2):
             await stream.serve(responder)
@@ -353,19 +397,19 @@
         assert client.sends[1].server.id == "other"
         assert client.repaths == []
 
-    def test_leaving_runner_is_on_no_new_path(self):
-        """Its layers have to be made up for by others."""
+    def test_leaving_runner_is_excluded_from_new_paths(self):
+        """Other runners take over its layers."""
         a, b = runner("a", 0, 80, kind="large"), runner("b", 0, 80)
         routing = make_routing(FakeClient(), a, b, rng=random.Random(1))
         service = admitted().service
         assert routing.path(service).first.id == "a"
-        routing.flow_control.record_signals(a, LEAVES, "c0")
+        routing.flow_control.record_signals(a, LEAVING, "c0")
         assert routing.path(service).first.id == "b"
-        assert [one.id for one in routing.usable("model")] == ["b"]
+        assert [server.id for server in routing.usable("model")] == ["b"]
 
 
-def _kept_back_moves(routing, client):
-    """Return moves that look at the gate first, as the adapter's do."""
+def _checked_moves(routing, client):
+    """Return a move method that checks flow control first, like the adapter's."""
     move = client.repath
 
     async def repath(server, call_id, path):
@@ -378,67 +422,73 @@
     return repath
 
 
-class TestToldToOthers:
-    async def test_departure_reaches_the_other_instances(self):
-        """They send nothing there either, without having been told by the server."""
+class TestOtherInstances:
+    async def test_shutdown_is_announced(self):
+        """They stop sending without a response from the server."""
         servers = Servers(lambda name: runner(name, 0, 80, kind="large"), count=2)
         fleet = Fleet(3, servers)
-        told = servers.by_id["s1"].listed
-        fleet.routers[0].routing.flow_control.record_signals(told, LEAVES, "c0")
+        entry = servers.by_id["s1"].listed
+        fleet.routers[0].routing.flow_control.record_signals(entry, LEAVING, "c0")
         async with asyncio.timeout(5):
-            while any(len(one.routing.usable("model")) > 1 for one in fleet.routers):
+            while any(
+                len(router.routing.usable("model")) > 1 for router in fleet.routers
+            ):
                 await asyncio.sleep(0.01)
         for router in fleet.routers:
-            assert [one.id for one in router.routing.usable("model")] == ["s2"]
+            assert [server.id for server in router.routing.usable("model")] == ["s2"]
 
-    async def test_rest_stays_with_who_was_asked(self):
-        """The server speaks to one instance, and may have room for the others."""
+    async def test_backoff_is_not_announced(self):
+        """A back-off applies to one instance; the server may accept the others."""
         servers = Servers(lambda name: runner(name, 0, 80, kind="large"), count=2)
         fleet = Fleet(3, servers)
         fleet.routers[0].routing.flow_control.record_signals(
-            servers.by_id["s1"].listed, REST, "c0"
+            servers.by_id["s1"].listed, BACKOFF, "c0"
         )
         await asyncio.sleep(0.1)
         now_s = clocks.now_s()
-        bound = [
+        blocked = [
             router.routing.flow_control.blocked_s(now_s=now_s)
             for router in fleet.routers
         ]
-        assert [set(one) for one in bound] == [{"s1"}, set(), set()]
+        assert [set(server_ids) for server_ids in blocked] == [{"s1"}, set(), set()]
 
 
-class TestLines:
-    def test_refusal_tells_for_how_long(self, lines):
-        """What was asked for counts where it is longer than the guess."""
+class TestLogLines:
+    def test_backoff_duration_of_a_refusal(self, log_lines):
+        """The requested back-off applies if it exceeds the default cooldown."""
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
         routing.note_refusal("a", Refusal(None, False), "c1")
-        routing.flow_control.record_signals(a, REST, "c2")
-        routing.note_refusal("a", Refusal(None, False, REST), "c2")
-        first, second = lines_of(lines, log_events.SERVER_REFUSED)
+        routing.flow_control.record_signals(a, BACKOFF, "c2")
+        routing.note_refusal("a", Refusal(None, False, BACKOFF), "c2")
+        first, second = fields_of(log_lines, log_events.SERVER_REFUSED)
         assert (first["rest_s"], first["rested_s"]) == (0.3, 0.0)
         assert second["rest_s"] == pytest.approx(30.0, abs=0.1)
         assert 0.0 < second["rested_s"] <= 0.3
         assert (second["status"], second["asks_rest_s"]) == (503, 30.0)
 
-    def test_words_and_what_they_keep_back(self, lines):
-        """From a request's id to the word that decided, and who had it."""
+    def test_signals_and_rejected_sends(self, log_lines):
+        """Log lines lead from a rejected request to the response that caused it."""
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
         kept = []
         routing.flow_control.on_send_rejected = lambda what, why: kept.append(
             (what, why)
         )
-        routing.flow_control.record_signals(a, REST, "c1")
+        routing.flow_control.record_signals(a, BACKOFF, "c1")
         with pytest.raises(KeptBackError):
             routing.flow_control.check_send(a, Sending.CALL, "c2")
-        (word,) = lines_of(lines, log_events.SERVER_WORD)
-        assert (word["request_id"], word["asks_rest_s"], word["is_longer"]) == (
+        (signals,) = fields_of(log_lines, log_events.SERVER_WORD)
+        assert (
+            signals["request_id"],
+            signals["asks_rest_s"],
+            signals["is_longer"],
+        ) == (
             "c1",
             30.0,
             True,
         )
-        (line,) = lines_of(lines, log_events.SEND_KEPT_BACK)
+        (line,) = fields_of(log_lines, log_events.SEND_KEPT_BACK)
         assert (line["request_id"], line["reason"], line["said_to"]) == (
             "c2",
             "rest",
@@ -448,119 +498,143 @@
 
 
 LIMITED = ServerSignals(status=200, limit_per_s=0.5)
-#: A limit under which a permit is due at once, as far as a test can wait.
-WIDE = ServerSignals(status=200, limit_per_s=50.0)
+#: A limit at which a permit is due within the time of a test.
+HIGH_LIMIT = ServerSignals(status=200, limit_per_s=50.0)
 
 
-def hear(machine, server, word, request_id="c0"):
-    """Let an instance hear a server's word, just asked for."""
+def receive(machine, server, signals, request_id="c0"):
+    """Make an instance receive a server's signals in response to a new request."""
     now_s = clocks.now_s()
     machine.router.routing.flow_control.record_signals(
-        server.listed, word._replace(sent_s=now_s), request_id
+        server.listed, signals._replace(sent_s=now_s), request_id
     )
 
 
 class TestLimits:
-    @pytest.mark.parametrize("how", WAYS)
-    async def test_every_way_needs_a_permit(self, how):
-        """Nothing is written without one, and the caller of it learns that."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            hear(made[0], servers[0], LIMITED)
-            assert await try_way(made[0].client, servers[0].listed, how)
+    @pytest.mark.parametrize("how", SEND_KINDS)
+    async def test_every_send_needs_a_permit(self, how):
+        """Nothing is written without one, and the caller gets the rejection."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            receive(machines[0], servers[0], LIMITED)
+            assert await is_rejected(machines[0].client, servers[0].listed, how)
             assert servers[0].arrived == []
 
-    @pytest.mark.parametrize("how", WAYS)
-    async def test_every_way_uses_a_permit_up(self, how):
-        """It is counted with what all send."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+    @pytest.mark.parametrize("how", SEND_KINDS)
+    async def test_every_send_consumes_a_permit(self, how):
+        """Every send counts towards the shared limit."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
             servers[0].limit_a_s = "50"
-            hear(made[0], servers[0], WIDE)
-            await try_way(made[0].client, servers[0].listed, "report")
-            gate = made[0].router.routing.flow_control
+            receive(machines[0], servers[0], HIGH_LIMIT)
+            await is_rejected(machines[0].client, servers[0].listed, "report")
+            flow_control = machines[0].router.routing.flow_control
             await asyncio.sleep(1.0)
-            gate.limits.permits.discard("s1")
+            flow_control.limits.permits.discard("s1")
             before = len(servers[0].arrived)
-            assert not await try_way(made[0].client, servers[0].listed, how)
+            assert not await is_rejected(machines[0].client, servers[0].listed, how)
             arrived = len(servers[0].arrived) - before
-            (state,) = gate.limits.state().values()
+            (state,) = flow_control.limits.state().values()
             assert state.sent == arrived
             assert state.given >= arrived
 
-    async def test_permit_lapses_while_a_connection_is_waited_for(self):
-        """What was decided long before is not written; no connection is lost."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.flow_control
-            hear(made[0], servers[0], WIDE)
-            lapsed = Permit(clocks.now_s() - 0.01)
+    async def test_permit_expires_during_connect(self):
+        """A send with an expired permit is not written."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            flow_control = machines[0].router.routing.flow_control
+            receive(machines[0], servers[0], HIGH_LIMIT)
+            expired = Permit(clocks.now_s() - 0.01)
             with pytest.raises(KeptBackError):
-                gate.check_send(servers[0].listed, Sending.CALL, "c1", lapsed)
-            slow_connects(made[0].kept, lambda _address: 0.3)
-            gate.limits.permits.add("s1", Permit(clocks.now_s() + 0.1))
+                flow_control.check_send(servers[0].listed, Sending.CALL, "c1", expired)
+            slow_connects(machines[0].kept, lambda _address: 0.3)
+            flow_control.limits.permits.add("s1", Permit(clocks.now_s() + 0.1))
             with pytest.raises(KeptBackError):
-                await made[0].client.send(send_to(servers[0].listed))
+                await machines[0].client.send(send_to(servers[0].listed))
             assert servers[0].arrived == []
 
-    async def test_word_that_comes_while_a_connection_is_waited_for(self):
-        """What was decided without a permit is not written then."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            slow_connects(made[0].kept, lambda _address: 0.2)
-            sending = asyncio.create_task(
-                made[0].client.send(send_to(servers[0].listed))
+    async def test_limit_is_received_during_connect(self):
+        """A send that was scheduled without a permit is not written."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            slow_connects(machines[0].kept, lambda _address: 0.2)
+            send_task = asyncio.create_task(
+                machines[0].client.send(send_to(servers[0].listed))
             )
             await asyncio.sleep(0.05)
-            hear(made[0], servers[0], LIMITED)
+            receive(machines[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
-                await sending
+                await send_task
             assert servers[0].arrived == []
 
-    async def test_permit_that_is_not_used_is_kept(self):
-        """The next send uses it, while it is good."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.flow_control
-            hear(made[0], servers[0], LIMITED)
+    async def test_unused_permit_is_reused(self):
+        """The next send uses it, until it expires."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            flow_control = machines[0].router.routing.flow_control
+            receive(machines[0], servers[0], LIMITED)
             permit = Permit(clocks.now_s() + 5.0)
-            gate.settle(servers[0].listed, permit, was_written=False)
-            assert await gate.admit(servers[0].listed, Sending.CALL, "c1") == permit
+            flow_control.settle(servers[0].listed, permit, was_written=False)
+            assert (
+                await flow_control.admit(servers[0].listed, Sending.CALL, "c1")
+                == permit
+            )
             with pytest.raises(KeptBackError):
-                await gate.admit(servers[0].listed, Sending.CALL, "c2")
-
-    async def test_no_permit_is_asked_for_a_server_that_rests(self):
-        """It would be spent in vain."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.flow_control
-            hear(made[0], servers[0], LIMITED)
-            gate.record_signals(servers[0].listed, REST, "c0")
+                await flow_control.admit(servers[0].listed, Sending.CALL, "c2")
+
+    async def test_no_permit_is_requested_during_a_backoff(self):
+        """The permit would be wasted."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            flow_control = machines[0].router.routing.flow_control
+            receive(machines[0], servers[0], LIMITED)
+            flow_control.record_signals(servers[0].listed, BACKOFF, "c0")
             with pytest.raises(KeptBackError) as caught:
-                await gate.admit(servers[0].listed, Sending.CALL, "c1")
+                await flow_control.admit(servers[0].listed, Sending.CALL, "c1")
             assert caught.value.reason == "rest"
-            assert len(gate.limits.issuers) == 0
+            assert len(flow_control.limits.issuers) == 0
 
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-    async def test_all_are_limited(self, path, lines):
-        """At once: not run, when a permit is due, and which limits decided."""
-        async with servers_and_machines(first_choice(path)) as (servers, made):
+    async def test_all_servers_are_limited(self, path, log_lines):
+        """The error is immediate: not run, with a retry time; the limits are logged."""
+        async with servers_and_machines(first_choice(path)) as (servers, machines):
             for number, server in enumerate(servers):
-                hear(made[0], server, LIMITED, f"c{number}")
+                receive(machines[0], server, LIMITED, f"c{number}")
             async with watched_lag() as lag:
                 started_s = clocks.now_s()
-                error = await made[0].ask(path=path)
+                error = await machines[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
             assert took_s < 0.1 + lag.most_s
             assert (error.code, error.ran) == (OverloadedError.code, "no")
             assert 1.5 <= error.retry_after_s <= 7.0
             assert all(server.arrived == [] for server in servers)
-            line = lines_of(lines, log_events.SERVERS_REST)[-1]
+            line = fields_of(log_lines, log_events.SERVERS_REST)[-1]
             assert line["limited"] == len(servers)
-            assert {one["limit_a_s"] for one in line["limits"]} == {0.5}
-            assert {one["limit_said_to"] for one in line["limits"]} == {
+            assert {limit["limit_a_s"] for limit in line["limits"]} == {0.5}
+            assert {limit["limit_said_to"] for limit in line["limits"]} == {
                 f"c{n}" for n in range(len(servers))
             }
 
-    async def test_urgent_request_asks_where_another_was_refused(self):
-        """It is on a path that is closed to less urgent ones."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            routing = made[0].router.routing
-            hear(made[0], servers[0], LIMITED)
+    async def test_urgent_request_is_not_blocked(self):
+        """It may use a path that is blocked for less urgent ones."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            routing = machines[0].router.routing
+            receive(machines[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
                 await routing.flow_control.admit(
                     servers[0].listed, Sending.CALL, "c1", priority=2
@@ -575,64 +649,78 @@
             assert routing.path(service, avoided=others, priority=2) is None
             assert routing.path(service, avoided=others, priority=1).first.id == "s1"
 
-    async def test_no_retry_is_spent(self):
-        """A send whose refusal is known costs nothing."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            routing = made[0].router.routing
+    async def test_no_retry_budget_is_used(self):
+        """A send that is known to be rejected uses no retry budget."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            routing = machines[0].router.routing
             for server in servers[:-1]:
-                hear(made[0], server, LIMITED)
+                receive(machines[0], server, LIMITED)
             before = routing.retries.budget("model").own.balance
-            got = [await made[0].ask() for _ in range(5)]
-            assert all(one.end == "whole" for one in got)
+            responses = [await machines[0].ask() for _ in range(5)]
+            assert all(response.end == "whole" for response in responses)
             assert routing.retries.budget("model").own.balance >= before
 
-    async def test_limit_is_over(self):
-        """The first answer that names none ends it; its server is left for a while."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.flow_control
-            hear(made[0], servers[0], LIMITED)
-            assert await try_way(made[0].client, servers[0].listed, "call")
+    async def test_limit_is_lifted(self):
+        """A response without a limit lifts it; traffic resumes after a delay."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            flow_control = machines[0].router.routing.flow_control
+            receive(machines[0], servers[0], LIMITED)
+            assert await is_rejected(machines[0].client, servers[0].listed, "call")
             await asyncio.sleep(0.01)
-            hear(made[0], servers[0], ServerSignals(status=200, limit_per_s=math.inf))
+            receive(
+                machines[0], servers[0], ServerSignals(status=200, limit_per_s=math.inf)
+            )
             now_s = clocks.now_s()
-            assert "s1" not in gate.blocked_s(now_s=now_s)
-            assert gate.avoided(now_s=now_s) == {"s1"}
-            assert gate.avoided(now_s=now_s + 1.0) == set()
-            assert not await try_way(made[0].client, servers[0].listed, "call")
-
-    async def test_new_start_is_free(self):
-        """Its limit goes with a start, as its rests do."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            one = servers[0].listed._replace(started_ms=5)
-            made[0].list({one.id: one})
-            servers[0].listed = one
-            hear(made[0], servers[0], LIMITED._replace(sent_ms=6))
-            assert await try_way(made[0].client, one, "call")
-            made[0].list({one.id: None})
-            made[0].list({one.id: one})
-            assert await try_way(made[0].client, one, "call")
-            made[0].list({one.id: one._replace(started_ms=9)})
-            assert not await try_way(made[0].client, one, "call")
-
-    async def test_beside_a_rest(self):
-        """Both words of one answer count."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
-            gate = made[0].router.routing.flow_control
-            hear(made[0], servers[0], REST._replace(limit_per_s=2.4))
-            assert set(gate.active_backoffs(now_s=clocks.now_s())) == {"s1"}
-            assert gate.limits.active_limit("s1").per_s == 2.4
-
-    def test_words_that_nothing_reads(self, lines):
-        """One line each, a bounded number of them, and all are counted."""
+            assert "s1" not in flow_control.blocked_s(now_s=now_s)
+            assert flow_control.avoided(now_s=now_s) == {"s1"}
+            assert flow_control.avoided(now_s=now_s + 1.0) == set()
+            assert not await is_rejected(machines[0].client, servers[0].listed, "call")
+
+    async def test_new_start_has_no_limit(self):
+        """A limit applies to one start, like a back-off."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            server = servers[0].listed._replace(started_ms=5)
+            machines[0].list({server.id: server})
+            servers[0].listed = server
+            receive(machines[0], servers[0], LIMITED._replace(sent_ms=6))
+            assert await is_rejected(machines[0].client, server, "call")
+            machines[0].list({server.id: None})
+            machines[0].list({server.id: server})
+            assert await is_rejected(machines[0].client, server, "call")
+            machines[0].list({server.id: server._replace(started_ms=9)})
+            assert not await is_rejected(machines[0].client, server, "call")
+
+    async def test_limit_with_a_backoff(self):
+        """Both signals of one response apply."""
+        async with servers_and_machines(first_choice("/draft/1")) as (
+            servers,
+            machines,
+        ):
+            flow_control = machines[0].router.routing.flow_control
+            receive(machines[0], servers[0], BACKOFF._replace(limit_per_s=2.4))
+            assert set(flow_control.active_backoffs(now_s=clocks.now_s())) == {"s1"}
+            assert flow_control.limits.active_limit("s1").per_s == 2.4
+
+    def test_unknown_headers(self, log_lines):
+        """Each is logged once, up to a maximum, and all are counted."""
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
         counted = []
         routing.flow_control.on_signal = counted.append
         for number in range(100):
-            word = ServerSignals(
+            signals = ServerSignals(
                 status=200, unknown_headers=(f"server-{number}", "server-x")
             )
-            routing.flow_control.record_signals(a, word, "c1")
-        named = [one["word"] for one in lines_of(lines, log_events.WORD_UNKNOWN)]
+            routing.flow_control.record_signals(a, signals, "c1")
+        named = [line["word"] for line in fields_of(log_lines, log_events.WORD_UNKNOWN)]
         assert len(named) == len(set(named)) == 32
         assert counted == ["unknown"] * 200
