--- a/tests/test_limit_link.py
+++ b/tests/test_limit_link.py
@@ -353,7 +353,7 @@
     @pytest.mark.parametrize("loop_class", [EventLoop, asyncio.SelectorEventLoop])
     @pytest.mark.parametrize("hold_s", [0.07, 0.3])
     def test_permit_that_is_received_during_a_stall(self, loop_class, hold_s):
-        """The reply is in the socket after the stall, and is read before the timeout."""
+        """The reply waits in the socket, and is read before the timeout expires."""
 
         async def request():
             members = Members(6)
--- a/tests/test_servers_that_ask_for_rest.py
+++ b/tests/test_servers_that_ask_for_rest.py
@@ -1,13 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""What a server that asks for rest gets to see of an instance.
+"""Sends of instances to a server that requests a back-off.
 
-Two first runners of a played day turned everything away for nine seconds, and asked
-each time for three seconds of rest. Nobody read that: a refusal for want of room let a
-server rest for 0.3 s, whatever it asked for, so that each instance sent to it again,
-0.5 to 0.7 s apart (lines of one instance: refused at 6.155, 6.849, 7.539, 8.143 and
-8.778 s). Two sends in the time asked for are allowed, from half a second on; there were
-four at one instance and three at another. Each cost its request a retry and a way there
-and back, while the third zone's first runner, which refused none, had room.
+A fixed cooldown of 0.3 s after each rejection, whatever a server requests, makes an
+instance send to it again within the requested 3 s, 0.5 to 0.7 s apart: three or four
+times, where two are allowed from half a second on.  Each costs the request a retry and
+a round trip, while another zone's first runner, which rejects none, has capacity.
 """
 
 from __future__ import annotations
@@ -25,51 +22,59 @@
 )
 
 
-#: What the server asks for, in seconds.
-REST_S = 1.2
-#: How often requests come, in seconds; many in each rest.
-EVERY_S = 0.02
+#: Requested back-off, in seconds.
+BACKOFF_S = 1.2
+#: Interval between requests, in seconds: many in each back-off.
+INTERVAL_S = 0.02
 
 
 @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-async def test_rest_is_kept(path):
-    """Nothing reaches the server until its rest is over; the others serve."""
+async def test_backoff_is_followed(path):
+    """No request reaches the server until its back-off expires; others serve them."""
     async with (
         servers_and_machines(first_choice(path), machines=2) as (servers, machines),
         watched_lag() as lag,
     ):
-        servers[0].asks_for = str(REST_S)
+        servers[0].asks_for = str(BACKOFF_S)
         outcomes = await asyncio.gather(
             *(
-                one.keep_asking(every_s=EVERY_S, for_s=REST_S + 0.3, path=path)
-                for one in machines
+                machine.keep_asking(
+                    every_s=INTERVAL_S, for_s=BACKOFF_S + 0.3, path=path
+                )
+                for machine in machines
             )
         )
         assert servers[0].said_s is not None
-        for one in machines:
-            again = servers[0].arrivals(
-                after_s=UNDER_WAY_S + lag.most_s, until_s=REST_S, machine=one.name
+        for machine in machines:
+            repeated = servers[0].arrivals(
+                after_s=UNDER_WAY_S + lag.most_s,
+                until_s=BACKOFF_S,
+                machine=machine.name,
             )
-            assert again == []
-        assert all(one.end == "whole" for some in outcomes for one in some)
+            assert repeated == []
+        assert all(
+            response.end == "whole" for responses in outcomes for response in responses
+        )
 
 
 @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-async def test_sends_that_wait_keep_to_the_rest(path):
-    """What was decided before the word and waits for a connection goes elsewhere."""
+async def test_waiting_sends_follow_the_backoff(path):
+    """Requests that wait for a connection are sent to another server instead."""
     async with (
         servers_and_machines(first_choice(path)) as (servers, (machine,)),
         watched_lag() as lag,
     ):
-        servers[0].asks_for = str(REST_S)
-        waits_s = iter([0.0, *(0.55 + 0.02 * n for n in range(12))])
+        servers[0].asks_for = str(BACKOFF_S)
+        delays_s = iter([0.0, *(0.55 + 0.02 * n for n in range(12))])
 
-        def wait_s(address):
-            return next(waits_s, 0.0) if address == servers[0].listed.address else 0.0
+        def delay_s(address):
+            return next(delays_s, 0.0) if address == servers[0].listed.address else 0.0
 
         for session in (machine.kept, machine.fresh):
-            slow_connects(session, wait_s)
+            slow_connects(session, delay_s)
         outcomes = await asyncio.gather(*(machine.ask(path=path) for _ in range(13)))
-        again = servers[0].arrivals(after_s=UNDER_WAY_S + lag.most_s, until_s=REST_S)
-        assert again == []
-        assert all(one.end == "whole" for one in outcomes)
+        repeated = servers[0].arrivals(
+            after_s=UNDER_WAY_S + lag.most_s, until_s=BACKOFF_S
+        )
+        assert repeated == []
+        assert all(response.end == "whole" for response in outcomes)
--- a/tests/test_servers_that_leave.py
+++ b/tests/test_servers_that_leave.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""What a server that says in its answers that it leaves gets to see of an instance.
+"""Sends of an instance to a server that reports its shutdown in its responses.
 
-Servers say so in the head of each answer, before their entry in the list does, after
-it, or without it. Only the list was read: an instance sent to such a server for as long
-as the entry said that it was ready, also after the time within which all work for it
-has to be there (4 to 28 of the requests of the test's second arrived after that).
+Servers report it in the headers of each response, before their list entry does, after
+it, or without it.  An instance that only reads the list keeps sending while the entry
+is ready: 4 to 28 requests in a second arrive after the grace period for work.
 """
 
 from __future__ import annotations
@@ -22,18 +21,23 @@
 
 
 @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-@pytest.mark.parametrize("turns_away", [False, True])
-async def test_leaving_server_gets_nothing_more(path, turns_away):
-    """Once an answer says so no request goes there, though the list says nothing."""
+@pytest.mark.parametrize("is_rejecting", [False, True])
+async def test_leaving_server_gets_no_requests(path, is_rejecting):
+    """No request is sent after the first such response, whatever the list says."""
     async with (
         servers_and_machines(first_choice(path), machines=2) as (servers, machines),
         watched_lag() as lag,
     ):
         servers[0].is_leaving = True
-        servers[0].asks_for = "0" if turns_away else None
+        servers[0].asks_for = "0" if is_rejecting else None
         outcomes = await asyncio.gather(
-            *(one.keep_asking(every_s=0.02, for_s=1.0, path=path) for one in machines)
+            *(
+                machine.keep_asking(every_s=0.02, for_s=1.0, path=path)
+                for machine in machines
+            )
         )
         after_s = LEAVING_S + lag.most_s
         assert servers[0].arrivals(after_s=after_s, until_s=9.0) == []
-        assert all(one.end == "whole" for some in outcomes for one in some)
+        assert all(
+            response.end == "whole" for responses in outcomes for response in responses
+        )
--- a/tests/test_servers_that_name_a_limit.py
+++ b/tests/test_servers_that_name_a_limit.py
@@ -1,16 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""What a server that names a limit for all instances gets from all of them.
+"""Sends of all instances together to a server that advertises a rate limit.
 
-Two first runners of a played day were in need and named in their answers how many
-requests a second they take from all instances together: 2.4 and 4.9. Nobody read that,
-and each instance went on sending what its share of the load was: the first got 25
-requests in 4 s from instances that it had told, the second 69, where 9 and 19 are what
-they had asked for. The other first runners had room all the time.
-
-The cause was twofold: the word was not read, so that arrivals went on as before it (8
-in the second before, 3 to 11 in each after); and nothing counted what all instances
-send, so that reading it alone would not have done: in front of a stand-in that takes
-2.4 a second, one instance sent 50 and 99 in 4 s, six sent 294 and 299.
+Instances that ignore the limit keep sending their share of the load: 25 and 69 requests
+in 4 s, where limits of 2.4 and 4.9 a second permit 9 and 19, while other first runners
+have capacity.  Reading it is not enough without a count over all instances: at 2.4 a
+second, one instance sends 50 and 99 requests in 4 s, six send 294 and 299.
 """
 
 from __future__ import annotations
@@ -28,22 +22,22 @@
 )
 
 
-#: What the server takes a second, from all together.
-LIMIT_A_S = 2.4
-#: Over any span so long, in seconds, no more than that comes.
-SPAN_S = 4.0
-#: How long requests come after the word, in seconds.
-LASTS_S = 6.0
-#: From when on after the first word all have to keep to it, in seconds.
-KNOWN_S = 1.0
-#: How often requests come at each instance, in seconds; many for the limit.
-EVERY_S = 0.04
+#: The server's limit for all instances together, in requests a second.
+LIMIT_PER_S = 2.4
+#: Length of the window in which the limit must not be exceeded, in seconds.
+WINDOW_S = 4.0
+#: Duration of the load after the limit is advertised, in seconds.
+DURATION_S = 6.0
+#: Time within which all instances must enforce the limit, in seconds.
+NOTIFIED_WITHIN_S = 1.0
+#: Interval between requests at each instance, in seconds: well above the limit.
+INTERVAL_S = 0.04
 
 
 @pytest.mark.parametrize("instances", [1, 6])
 @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-async def test_all_together_keep_to_it(path, instances):
-    """All together send what the server takes of them; the other servers serve."""
+async def test_total_stays_within_the_limit(path, instances):
+    """All instances together stay within the limit; other servers serve the rest."""
     async with (
         servers_and_machines(first_choice(path), machines=instances) as (
             servers,
@@ -53,15 +47,19 @@
     ):
         join_machines(machines)
         await machines[0].ask(path=path)
-        (limited,) = (one for one in servers if one.ran)
-        limited.limit_a_s = str(LIMIT_A_S)
+        (limited,) = (server for server in servers if server.ran)
+        limited.limit_a_s = str(LIMIT_PER_S)
         outcomes = await asyncio.gather(
             *(
-                one.keep_asking(every_s=EVERY_S, for_s=LASTS_S, path=path)
-                for one in machines
+                machine.keep_asking(every_s=INTERVAL_S, for_s=DURATION_S, path=path)
+                for machine in machines
             )
         )
-        arrived_s = limited.arrival_times(after_s=KNOWN_S, until_s=LASTS_S)
-        most = most_within(arrived_s, SPAN_S - lag.most_s)
-        assert most <= int(SPAN_S * LIMIT_A_S)
-        assert all(one.end == "whole" for some in outcomes for one in some)
+        arrivals_s = limited.arrival_times(
+            after_s=NOTIFIED_WITHIN_S, until_s=DURATION_S
+        )
+        max_arrivals = most_within(arrivals_s, WINDOW_S - lag.most_s)
+        assert max_arrivals <= int(WINDOW_S * LIMIT_PER_S)
+        assert all(
+            response.end == "whole" for responses in outcomes for response in responses
+        )
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Servers that ask for rest, name limits, leave and start again at random, under load.
+"""Random back-offs, rate limits, shutdowns and restarts of servers under load.
 
-Some seeds run here; ``SEEDS=50 pytest tests/test_words_soak.py`` runs more by hand.
+A few seeds run by default; ``SEEDS=50 pytest tests/test_words_soak.py`` runs more.
 """
 
 from __future__ import annotations
@@ -27,26 +27,26 @@
 from violethatch._send_checks import CheckedRequest
 
 
-LASTS_S = 4.0
+DURATION_S = 4.0
 MACHINES = 2
-FIGURES = ("0.3", "1", "1.5", "0", "2, 1", "soon", "-1")
-LENGTHS_S = {"0.3": 0.3, "1": 1.0, "1.5": 1.5, "2, 1": 2.0}
+RETRY_AFTER_VALUES = ("0.3", "1", "1.5", "0", "2, 1", "soon", "-1")
+BACKOFFS_S = {"0.3": 0.3, "1": 1.0, "1.5": 1.5, "2, 1": 2.0}
 
 
-#: Connections take up to so long, in seconds, one in so many of them.
+#: Maximum time to connect, in seconds, and the fraction of slow connections.
 SLOW_CONNECT_S = 0.9
 SLOW_CONNECTS = 0.3
-#: What servers run takes up to so long, in seconds: it goes on while they turn away.
+#: Maximum processing time, in seconds; it continues while a server rejects requests.
 WORK_S = 0.4
 
 
-class Trouble:
-    """Turns one server's words on and off at random; notes what they allow.
+class SignalChanges:
+    """Changes one server's signals at random.
 
     Args:
         server: The server.
         machines: The instances that have it in their lists.
-        rng: Decides.
+        rng: Source of random choices.
     """
 
     def __init__(self, server, machines, rng):
@@ -55,56 +55,56 @@
         self.rng = rng
 
     async def run(self, end_s):
-        """Change what the server says, until a time."""
+        """Change the signals until a time."""
         while clocks.now_s() < end_s:
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
             change = self.rng.random()
             if change < 0.45:
-                self.server.asks_for = self.rng.choice(FIGURES)
+                self.server.asks_for = self.rng.choice(RETRY_AFTER_VALUES)
             elif change < 0.85:
                 self.server.asks_for = None
             elif change < 0.93:
                 self.server.is_leaving = True
             else:
-                self.start_again()
+                self.restart()
 
-    def start_again(self):
-        """Let the server start again under its id, free of all it has said."""
+    def restart(self):
+        """Restart the server under its id, without its earlier signals."""
         self.server.start_again(int(clocks.wall_s() * 1000))
         entry = {self.server.listed.id: self.server.listed}
         for machine in self.machines:
-            # The list tells each instance late.
-            late_s = self.rng.uniform(0.0, LIST_LAG_S)
-            asyncio.get_running_loop().call_later(late_s, machine.list, entry)
+            # The list update reaches each instance after a delay.
+            delay_s = self.rng.uniform(0.0, LIST_LAG_S)
+            asyncio.get_running_loop().call_later(delay_s, machine.list, entry)
 
 
-async def all_ask(servers, rng, end_s):
-    """Let all servers of a service turn everything away from time to time."""
+async def reject_all(servers, rng, end_s):
+    """Make all servers of a service reject requests from time to time."""
     while clocks.now_s() < end_s:
         await asyncio.sleep(rng.uniform(0.2, 0.6))
         for server in servers:
-            server.asks_for = rng.choice(list(LENGTHS_S))
+            server.asks_for = rng.choice(list(BACKOFFS_S))
 
 
-#: How late the list tells of a new start, in seconds.
+#: Maximum delay of the list update for a new start, in seconds.
 LIST_LAG_S = 0.8
 
 
-class Ledger:
-    """What instances have heard, and when they have written: no time lies between.
+class Recorder:
+    """Records signals and writes of instances, with their exact times.
 
     Args:
-        monkeypatch: Puts the notes in place.
+        monkeypatch: Installs the recording.
         machines: The instances.
     """
 
     def __init__(self, monkeypatch, machines):
-        self.heard = []
+        self.received_backoffs = []
         self.writes = []
         write = CheckedRequest.send
 
-        async def noted(request, connection):
-            # The look lies between the two times, and nothing waits there.
+        async def recorded_send(request, connection):
+            # The check runs between the two times, without waiting.
             before_s = clocks.now_s()
             answer = await write(request, connection)
             address = f"{request.host}:{request.port}"
@@ -112,29 +112,29 @@
             self.writes.append((call_id, address, before_s, clocks.now_s()))
             return answer
 
-        monkeypatch.setattr(CheckedRequest, "send", noted)
+        monkeypatch.setattr(CheckedRequest, "send", recorded_send)
         for machine in machines:
-            self.listen(machine)
+            self.attach(machine)
 
-    def listen(self, machine):
-        """Note what a machine hears."""
-        gate = machine.client.gate
-        hear = gate.record_signals
+    def attach(self, machine):
+        """Record the signals that a machine receives."""
+        flow_control = machine.client.gate
+        original = flow_control.record_signals
 
-        def heard(server, word, request_id):
+        def record_signals(server, signals, request_id):
             before_s = clocks.now_s()
-            hear(server, word, request_id)
-            if word.backoff_s and word.is_binding:
-                until_s = before_s + word.backoff_s
-                told = (request_id, server.address, clocks.now_s(), until_s)
-                self.heard.append(told)
+            original(server, signals, request_id)
+            if signals.backoff_s and signals.is_binding:
+                until_s = before_s + signals.backoff_s
+                received = (request_id, server.address, clocks.now_s(), until_s)
+                self.received_backoffs.append(received)
 
-        gate.record_signals = heard
+        flow_control.record_signals = record_signals
 
-    def broken(self, servers):
-        """Return writes within rests of the same start that the instance had heard.
+    def violations(self, servers):
+        """Return writes within a back-off of the same start that the instance received.
 
-        A call may come to a server twice, each time to another start of it.
+        A call may reach a server twice, at different starts.
         """
         arrivals = {
             (call_id, server.listed.address): []
@@ -142,76 +142,82 @@
             for call_id, _, _ in server.arrivals_by_start
         }
         for server in servers:
-            for call_id, at_s, started_ms in server.arrivals_by_start:
-                arrivals[call_id, server.listed.address].append((at_s, started_ms))
-
-        def start_told(call_id, address, heard_s):
-            before = [one for one in arrivals[call_id, address] if one[0] <= heard_s]
+            for call_id, arrived_s, started_ms in server.arrivals_by_start:
+                arrivals[call_id, server.listed.address].append((arrived_s, started_ms))
+
+        def signalling_start(call_id, address, received_s):
+            before = [
+                arrival
+                for arrival in arrivals[call_id, address]
+                if arrival[0] <= received_s
+            ]
             return before[-1][1]
 
-        def start_written_to(call_id, address, written_s):
+        def receiving_start(call_id, address, written_s):
             after = [
-                one
-                for one in arrivals.get((call_id, address), ())
-                if one[0] >= written_s
+                arrival
+                for arrival in arrivals.get((call_id, address), ())
+                if arrival[0] >= written_s
             ]
             return after[0][1] if after else None
 
         return [
             (
-                told_to,
+                signalled_call,
                 call_id,
-                f"told {heard_s:.4f} until {until_s:.4f}, written {before_s:.4f}",
+                f"received {received_s:.4f} until {until_s:.4f}, sent {before_s:.4f}",
             )
-            for told_to, address, heard_s, until_s in self.heard
+            for signalled_call, address, received_s, until_s in self.received_backoffs
             for call_id, written_to, before_s, after_s in self.writes
-            if call_id.partition("-")[0] == told_to.partition("-")[0]
+            if call_id.partition("-")[0] == signalled_call.partition("-")[0]
             and written_to == address
-            and heard_s <= before_s
+            and received_s <= before_s
             and after_s < until_s
-            and start_written_to(call_id, address, before_s)
-            == start_told(told_to, address, heard_s)
+            and receiving_start(call_id, address, before_s)
+            == signalling_start(signalled_call, address, received_s)
         ]
 
 
-def broken_rests(server, lag_s):
-    """Return arrivals at a server within rests that it had asked that machine for."""
+def backoff_violations(server, lag_s):
+    """Return arrivals at a server within the back-off that it sent to the machine."""
     return [
-        (machine, round(at_s - said_s, 3), figure)
-        for machine, said_s, figure, started_ms in server.words
-        for what, at_s, arrived_ms in server.arrivals_by_start
-        if what.startswith(machine)
+        (machine, round(arrived_s - sent_s, 3), value)
+        for machine, sent_s, value, started_ms in server.words
+        for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
+        if arrived_id.startswith(machine)
         and arrived_ms == started_ms
-        and said_s + UNDER_WAY_S + lag_s <= at_s < said_s + LENGTHS_S.get(figure, 0.0)
+        and sent_s + UNDER_WAY_S + lag_s
+        <= arrived_s
+        < sent_s + BACKOFFS_S.get(value, 0.0)
     ]
 
 
 def late_arrivals(server, lag_s):
-    """Return arrivals at a start that had said to a machine that it leaves."""
+    """Return arrivals at a start that had reported its shutdown to the machine."""
     return [
-        (machine, round(at_s - said_s, 3))
-        for machine, said_s, started_ms in server.departures
-        for what, at_s, arrived_ms in server.arrivals_by_start
-        if what.startswith(machine)
+        (machine, round(arrived_s - sent_s, 3))
+        for machine, sent_s, started_ms in server.departures
+        for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
+        if arrived_id.startswith(machine)
         and arrived_ms == started_ms
-        and at_s >= said_s + LEAVING_S + lag_s
+        and arrived_s >= sent_s + LEAVING_S + lag_s
     ]
 
 
-def connect_s(rng, *, most_s=SLOW_CONNECT_S):
-    """Return how long a connection takes beside its usual time, in seconds."""
+def connect_s(rng, *, max_s=SLOW_CONNECT_S):
+    """Return the additional time to connect, in seconds."""
     is_slow = rng.random() < SLOW_CONNECTS
-    return rng.uniform(0.0, most_s) if is_slow else 0.0
+    return rng.uniform(0.0, max_s) if is_slow else 0.0
 
 
 def is_refusal(outcome):
-    """Tell whether a caller was told that nothing has run."""
+    """Return whether the caller was informed that nothing has run."""
     return getattr(outcome, "ran", "") == "no"
 
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get("SEEDS", "3"))))
-async def test_words_are_kept(seed, monkeypatch):
-    """Whatever servers say, in whatever order, it is kept, and callers get answers."""
+async def test_signals_are_followed(seed, monkeypatch):
+    """Instances follow all signals in any order, and callers get responses."""
     rng = random.Random(seed)
     listed = [
         *(runner(f"s{n}", 0, 80, kind="large", started_ms=1) for n in range(3)),
@@ -224,105 +230,113 @@
         ),
         watched_lag() as lag,
     ):
-        ledger = Ledger(monkeypatch, machines)
-        end_s = clocks.now_s() + LASTS_S
-        for one in servers:
-            one.work_s = lambda: rng.uniform(0.0, WORK_S)
+        recorder = Recorder(monkeypatch, machines)
+        end_s = clocks.now_s() + DURATION_S
+        for server in servers:
+            server.work_s = lambda: rng.uniform(0.0, WORK_S)
         for machine in machines:
             for session in (machine.kept, machine.fresh):
                 slow_connects(session, lambda _address: connect_s(rng))
-        troubles = [Trouble(one, machines, rng) for one in servers]
-        work = [one.run(end_s) for one in troubles]
-        work += [all_ask(some, rng, end_s) for some in (servers[:3], servers[3:])]
-        asking = [
-            one.keep_asking(every_s=0.02, for_s=LASTS_S, path=path)
-            for one in machines
+        changers = [SignalChanges(server, machines, rng) for server in servers]
+        running = [changer.run(end_s) for changer in changers]
+        running += [
+            reject_all(group, rng, end_s) for group in (servers[:3], servers[3:])
+        ]
+        load = [
+            machine.keep_asking(every_s=0.02, for_s=DURATION_S, path=path)
+            for machine in machines
             for path in ("/draft/1", "/label/1")
         ]
-        *outcomes, _ = await asyncio.gather(*asking, asyncio.gather(*work))
-    assert ledger.broken(servers) == []
-    nothing = [[]] * len(servers)
-    assert [broken_rests(server, lag.most_s) for server in servers] == nothing
-    assert [late_arrivals(server, lag.most_s) for server in servers] == nothing
-    unrun = [one for some in outcomes for one in some if is_refusal(one)]
+        *outcomes, _ = await asyncio.gather(*load, asyncio.gather(*running))
+    assert recorder.violations(servers) == []
+    none = [[]] * len(servers)
+    assert [backoff_violations(server, lag.most_s) for server in servers] == none
+    assert [late_arrivals(server, lag.most_s) for server in servers] == none
+    rejected = [
+        outcome for group in outcomes for outcome in group if is_refusal(outcome)
+    ]
     ran = {call_id for server in servers for call_id in server.ran}
-    assert all(one.retry_after_s > 0 for one in unrun)
-    assert {one.call_id for one in unrun}.isdisjoint(ran)
+    assert all(error.retry_after_s > 0 for error in rejected)
+    assert {error.call_id for error in rejected}.isdisjoint(ran)
     assert sum(len(server.words) for server in servers) > 0
 
 
-#: How long servers that name limits are watched, in seconds, and by how many instances.
-LIMITS_LAST_S = 9.0
+#: Duration of the test of limits, in seconds, and its number of instances.
+LIMITS_DURATION_S = 9.0
 LIMIT_MACHINES = 4
-#: What servers name: limits, none, and what can't be understood.
-LIMITS = ("0.5", "2.4", "4.9", "12", None, "some", "0")
-#: How long a limit stays, in seconds: some spans end within it, some don't.
-STAYS_S = (0.5, 6.0)
-#: From when on after a word all keep to it, and over any span so long, in seconds.
-KNOWN_S = 1.0
-SPAN_S = 4.0
-#: How long connections take there at the most, in seconds: well over a permit's life,
-#: and with a loop that is held up for half a second still within a stream's patience.
+#: Header values of servers: limits, none, and an invalid one.
+LIMIT_VALUES = ("0.5", "2.4", "4.9", "12", None, "some", "0")
+#: Duration of a limit, in seconds: shorter and longer than a window.
+LIMIT_DURATION_S = (0.5, 6.0)
+#: Time within which all instances must enforce a limit, and its window, in seconds.
+NOTIFIED_WITHIN_S = 1.0
+WINDOW_S = 4.0
+#: Maximum time to connect in the test of limits, in seconds: well above a permit's
+#: lifetime, and within a stream's timeout even if the loop stalls for half a second.
 LIMIT_CONNECT_S = 0.4
-#: How late the loop may be for all callers to get answers, in seconds.
-HELD_UP_S = 0.1
-#: Which part of the datagrams between instances is lost, and comes twice.
-LOST_PART = 0.03
+#: Maximum delay of the loop at which all callers must get responses, in seconds.
+MAX_LOOP_DELAY_S = 0.1
+#: Fraction of datagrams between instances that are lost, and of those duplicated.
+LOST_FRACTION = 0.03
 
 
-class LimitTrouble:
-    """Changes one server's limit at random; notes what it allows.
+class LimitChanges:
+    """Changes one server's limit at random, and records it.
 
     Args:
         server: The server.
-        rng: Decides.
+        rng: Source of random choices.
     """
 
     def __init__(self, server, rng):
         self.server = server
         self.rng = rng
-        #: Since when it names what, or names nothing.
-        self.named = [(clocks.now_s(), None)]
+        #: Times and values of changes; None is no limit.
+        self.changes = [(clocks.now_s(), None)]
 
     async def run(self, end_s):
-        """Change the limit, until a time."""
+        """Change the limit until a time."""
         while clocks.now_s() < end_s:
-            self.server.limit_a_s = self.rng.choice(LIMITS)
-            self.named.append((clocks.now_s(), self.server.limit_a_s))
-            await asyncio.sleep(self.rng.uniform(*STAYS_S))
-
-    def broken(self, lag_s):
-        """Return the limits beyond which requests came, and by how many."""
-        found = []
-        ends_s = [since_s for since_s, _ in self.named[1:]] + [clocks.now_s()]
-        for (since_s, figure), end_s in zip(self.named, ends_s, strict=True):
-            if figure is None or figure == "some":
+            self.server.limit_a_s = self.rng.choice(LIMIT_VALUES)
+            self.changes.append((clocks.now_s(), self.server.limit_a_s))
+            await asyncio.sleep(self.rng.uniform(*LIMIT_DURATION_S))
+
+    def violations(self, lag_s):
+        """Return the exceeded limits, with the actual and permitted arrivals."""
+        violations = []
+        ends_s = [since_s for since_s, _ in self.changes[1:]] + [clocks.now_s()]
+        for (since_s, value), end_s in zip(self.changes, ends_s, strict=True):
+            if value is None or value == "some":
                 continue
-            told_s = self.told_s(since_s, end_s)
-            if told_s is None:
+            notified_s = self.notified_s(since_s, end_s)
+            if notified_s is None:
                 continue
-            came_s = [
-                at_s
-                for _, at_s in self.server.arrived
-                if told_s + KNOWN_S + lag_s <= at_s < end_s
+            arrivals_s = [
+                arrived_s
+                for _, arrived_s in self.server.arrived
+                if notified_s + NOTIFIED_WITHIN_S + lag_s <= arrived_s < end_s
             ]
-            allowed = max(1, int(SPAN_S * float(figure)))
-            most = most_within(came_s, SPAN_S - lag_s)
-            if most > allowed:
-                found.append((figure, most, allowed))
-        return found
-
-    def told_s(self, since_s, end_s):
-        """Return when the first request of a time came: its answer names the limit."""
-        came_s = [at_s for _, at_s in self.server.arrived if since_s <= at_s < end_s]
-        return min(came_s, default=None)
+            allowed = max(1, int(WINDOW_S * float(value)))
+            max_arrivals = most_within(arrivals_s, WINDOW_S - lag_s)
+            if max_arrivals > allowed:
+                violations.append((value, max_arrivals, allowed))
+        return violations
+
+    def notified_s(self, since_s, end_s):
+        """Return when the first request in an interval arrives, to get the limit."""
+        arrivals_s = [
+            arrived_s
+            for _, arrived_s in self.server.arrived
+            if since_s <= arrived_s < end_s
+        ]
+        return min(arrivals_s, default=None)
 
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get("SEEDS", "2"))))
-async def test_limits_are_kept(seed):
-    """Whatever servers name, all instances together send no more; callers get answers.
+async def test_limits_are_enforced(seed):
+    """All instances together stay within the limits, and callers get responses.
 
-    Datagrams are lost and come twice, connections take long.
+    Datagrams are lost and duplicated, and connections are slow.
     """
     rng = random.Random(seed)
     listed = [
@@ -336,29 +350,33 @@
         ),
         watched_lag() as lag,
     ):
-        join_machines(machines, seed=seed).lost_part = LOST_PART
-        end_s = clocks.now_s() + LIMITS_LAST_S
+        join_machines(machines, seed=seed).lost_part = LOST_FRACTION
+        end_s = clocks.now_s() + LIMITS_DURATION_S
         for machine in machines:
             for session in (machine.kept, machine.fresh):
                 slow_connects(
-                    session, lambda _address: connect_s(rng, most_s=LIMIT_CONNECT_S)
+                    session, lambda _address: connect_s(rng, max_s=LIMIT_CONNECT_S)
                 )
-        troubles = [LimitTrouble(one, rng) for one in servers]
-        asking = [
-            one.keep_asking(every_s=0.05, for_s=LIMITS_LAST_S, path=path)
-            for one in machines
+        changers = [LimitChanges(server, rng) for server in servers]
+        load = [
+            machine.keep_asking(every_s=0.05, for_s=LIMITS_DURATION_S, path=path)
+            for machine in machines
             for path in ("/draft/1", "/label/1")
         ]
-        changing = asyncio.gather(*(one.run(end_s) for one in troubles))
-        *outcomes, _ = await asyncio.gather(*asking, changing)
-        broken = [one.broken(lag.most_s) for one in troubles]
-    assert broken == [[]] * len(troubles)
-    unrun = [one for some in outcomes for one in some if is_refusal(one)]
+        changing = asyncio.gather(*(changer.run(end_s) for changer in changers))
+        *outcomes, _ = await asyncio.gather(*load, changing)
+        violations = [changer.violations(lag.most_s) for changer in changers]
+    assert violations == [[]] * len(changers)
+    rejected = [
+        outcome for group in outcomes for outcome in group if is_refusal(outcome)
+    ]
     ran = {call_id for server in servers for call_id in server.ran}
-    assert all(one.retry_after_s > 0 for one in unrun)
-    assert {one.call_id for one in unrun}.isdisjoint(ran)
-    others = [one for some in outcomes for one in some if not is_refusal(one)]
-    cut = [one for one in others if getattr(one, "end", "") != "whole"]
-    # A loop that is held up uses callers' deadlines and streams' patience up.
-    if lag.most_s < HELD_UP_S:
-        assert [getattr(one, "detail", one) for one in cut] == []
+    assert all(error.retry_after_s > 0 for error in rejected)
+    assert {error.call_id for error in rejected}.isdisjoint(ran)
+    others = [
+        outcome for group in outcomes for outcome in group if not is_refusal(outcome)
+    ]
+    failed = [outcome for outcome in others if getattr(outcome, "end", "") != "whole"]
+    # A stalled loop consumes the callers' deadlines and the streams' timeouts.
+    if lag.most_s < MAX_LOOP_DELAY_S:
+        assert [getattr(outcome, "detail", outcome) for outcome in failed] == []
