--- a/src/violethatch/server_backoffs.py
+++ b/src/violethatch/server_backoffs.py
@@ -5,7 +5,7 @@
 back-off from each instance that it rejects.  Many requests for the runner arrive at
 each instance within that time, and some were scheduled before the response and wait
 for a connection.  Each one that is sent anyway costs a retry and a round trip, and adds
-the load that the server asked to shed.
+the load that the server needs to shed.
 
 *A back-off is binding*: nothing is sent until it expires, even if no other server is
 available.  It binds only the instance that received it, as the server may have capacity
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -79,18 +79,18 @@
     return Send(call, server, path_of(server), call.deadline_s, 1, None, None, is_fresh)
 
 
-async def is_rejected(client, server, how):
-    """Send to a server in one of the ways; return whether that is rejected."""
+async def is_rejected(client, server, kind):
+    """Send a request of some kind to a server; return whether it is rejected."""
     try:
-        if how == "call":
+        if kind == "call":
             (await client.send(send_to(server))).close(is_whole=False)
             return False
-        if how == "report":
+        if kind == "report":
             await client.report(server)
             return False
     except KeptBackError:
         return True
-    if how == "move":
+    if kind == "move":
         order = await client.repath(server, "c1", path_of(server))
     else:
         layers = LayerRange(0, 2)
@@ -99,8 +99,8 @@
 
 
 class TestAllSends:
-    @pytest.mark.parametrize("how", SEND_KINDS)
-    async def test_backoff_blocks(self, how):
+    @pytest.mark.parametrize("kind", SEND_KINDS)
+    async def test_backoff_blocks(self, kind):
         """Nothing is written, and the caller gets the rejection."""
         async with servers_and_machines(first_choice("/draft/1")) as (
             servers,
@@ -110,21 +110,21 @@
             machines[0].router.routing.flow_control.record_signals(
                 server, BACKOFF, "c0"
             )
-            assert await is_rejected(machines[0].client, server, how)
+            assert await is_rejected(machines[0].client, server, kind)
             assert servers[0].arrived == []
 
-    @pytest.mark.parametrize("how", SEND_KINDS)
-    async def test_no_backoff(self, how):
+    @pytest.mark.parametrize("kind", SEND_KINDS)
+    async def test_no_backoff(self, kind):
         """Without a back-off each kind of send reaches the server."""
         async with servers_and_machines(first_choice("/draft/1")) as (
             servers,
             machines,
         ):
-            assert not await is_rejected(machines[0].client, servers[0].listed, how)
+            assert not await is_rejected(machines[0].client, servers[0].listed, kind)
             assert len(servers[0].arrived) == 1
 
     @pytest.mark.parametrize(
-        ("how", "at_once", "later"),
+        ("kind", "at_once", "later"),
         [
             ("call", True, True),
             ("order", True, True),
@@ -132,7 +132,7 @@
             ("report", False, False),
         ],
     )
-    async def test_server_that_is_shutting_down(self, how, at_once, later):
+    async def test_server_that_is_shutting_down(self, kind, at_once, later):
         """New work is rejected at once, moves after the grace period, reports never."""
         async with servers_and_machines(first_choice("/draft/1")) as (
             servers,
@@ -142,9 +142,9 @@
             machines[0].router.routing.flow_control.record_signals(
                 server, LEAVING, "c0"
             )
-            assert await is_rejected(machines[0].client, server, how) is at_once
+            assert await is_rejected(machines[0].client, server, kind) is at_once
             await asyncio.sleep(LEAVING_S)
-            assert await is_rejected(machines[0].client, server, how) is later
+            assert await is_rejected(machines[0].client, server, kind) is later
 
     async def test_server_that_is_no_longer_listed(self):
         """A send that was scheduled before the entry was removed is not written."""
@@ -173,7 +173,7 @@
                 await client.send(send_to(server, call_id="c2"))
             client.gate = flow_control
             (await client.send(send_to(server, call_id="c3"))).close(is_whole=True)
-            assert [what for what, _ in servers[0].arrived] == ["c1", "c3"]
+            assert [call_id for call_id, _ in servers[0].arrived] == ["c1", "c3"]
             assert servers[0].connections == 1
 
     async def test_backoff_of_a_previous_start(self):
@@ -251,7 +251,7 @@
             assert all(server.arrived == [] for server in servers)
             (line,) = fields_of(log_lines, log_events.SERVERS_REST)
             assert line["resting"] == len(servers)
-            assert {rest["said_to"] for rest in line["rests"]} == {
+            assert {backoff["said_to"] for backoff in line["rests"]} == {
                 f"c{n}" for n in range(len(servers))
             }
 
@@ -361,10 +361,10 @@
             FakeClient(), head, tail, lost, spare, other, rng=random.Random(1)
         )
         service = admitted().service
-        kept = routing.path(service, avoided=frozenset({"spare", "other"}))
+        current = routing.path(service, avoided=frozenset({"spare", "other"}))
         routing.flow_control.record_signals(tail, BACKOFF, "c0")
         moved = routing.path(
-            service, avoided=frozenset({"lost"}), first=head, kept=kept
+            service, avoided=frozenset({"lost"}), first=head, kept=current
         )
         assert moved.server_ids == {"head", "spare", "tail"}
 
@@ -471,9 +471,9 @@
         """Log lines lead from a rejected request to the response that caused it."""
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
-        kept = []
-        routing.flow_control.on_send_rejected = lambda what, why: kept.append(
-            (what, why)
+        rejections = []
+        routing.flow_control.on_send_rejected = lambda sending, reason: (
+            rejections.append((sending, reason))
         )
         routing.flow_control.record_signals(a, BACKOFF, "c1")
         with pytest.raises(KeptBackError):
@@ -494,7 +494,7 @@
             "rest",
             "c1",
         )
-        assert kept == [(Sending.CALL, "rest")]
+        assert rejections == [(Sending.CALL, "rest")]
 
 
 LIMITED = ServerSignals(status=200, limit_per_s=0.5)
@@ -511,19 +511,19 @@
 
 
 class TestLimits:
-    @pytest.mark.parametrize("how", SEND_KINDS)
-    async def test_every_send_needs_a_permit(self, how):
+    @pytest.mark.parametrize("kind", SEND_KINDS)
+    async def test_every_send_needs_a_permit(self, kind):
         """Nothing is written without one, and the caller gets the rejection."""
         async with servers_and_machines(first_choice("/draft/1")) as (
             servers,
             machines,
         ):
             receive(machines[0], servers[0], LIMITED)
-            assert await is_rejected(machines[0].client, servers[0].listed, how)
+            assert await is_rejected(machines[0].client, servers[0].listed, kind)
             assert servers[0].arrived == []
 
-    @pytest.mark.parametrize("how", SEND_KINDS)
-    async def test_every_send_consumes_a_permit(self, how):
+    @pytest.mark.parametrize("kind", SEND_KINDS)
+    async def test_every_send_consumes_a_permit(self, kind):
         """Every send counts towards the shared limit."""
         async with servers_and_machines(first_choice("/draft/1")) as (
             servers,
@@ -536,7 +536,7 @@
             await asyncio.sleep(1.0)
             flow_control.limits.permits.discard("s1")
             before = len(servers[0].arrived)
-            assert not await is_rejected(machines[0].client, servers[0].listed, how)
+            assert not await is_rejected(machines[0].client, servers[0].listed, kind)
             arrived = len(servers[0].arrived) - before
             (state,) = flow_control.limits.state().values()
             assert state.sent == arrived
