--- a/bench/_hardware_bound.py
+++ b/bench/_hardware_bound.py
@@ -49,8 +49,8 @@
 def _least_work_ms(kind: AcceleratorKind, engine: EngineSpec) -> float:
     """Return a card's time for a usual request over all layers, in full batches."""
     batch = float(engine.slots)
-    step_ms = engine.step_ms_of(kind, engine.layer_count, writers=batch) / batch
-    read_ms = engine.usual_read_ms(kind, engine.layer_count)
+    step_ms = engine.step_time_ms(kind, engine.layer_count, batch_size=batch) / batch
+    read_ms = engine.usual_prefill_ms(kind, engine.layer_count)
     return engine.usual_answer_tokens * step_ms + read_ms
 
 
@@ -73,9 +73,9 @@
         card = engine.kinds[kind]
         layers = min(left, count * (card.memory_mb / engine.layer_mb))
         part = layers / engine.layer_count
-        whole_ms = engine.usual_answer_tokens * engine.step_ms_of(
+        whole_ms = engine.usual_answer_tokens * engine.step_time_ms(
             card, engine.layer_count
-        ) + engine.usual_read_ms(card, engine.layer_count)
+        ) + engine.usual_prefill_ms(card, engine.layer_count)
         stay_ms += part * whole_ms
         left -= layers
     return stay_ms if left <= 0 else float("inf")
--- a/bench/brief_measures.py
+++ b/bench/brief_measures.py
@@ -21,7 +21,7 @@
 from typing import Any, NamedTuple
 
 from _hardware_bound import hardware_bound
-from violethatch._chains import best_chains, zone_groups
+from violethatch._chains import best_chains, group_by_zone
 from violethatch._hosts import Host
 from violethatch._tiers import tiered_chains
 from violethatch.engine_model import AcceleratorKind, EngineSpec
@@ -196,7 +196,9 @@
         )
         for name, divide in (("even", best_chains), ("tiers", tiered_chains)):
             chains = [
-                c for group in zone_groups(hosts, engine) for c in divide(group, engine)
+                c
+                for group in group_by_zone(hosts, engine)
+                for c in divide(group, engine)
             ]
             rate = sum(chain.requests_per_s for chain in chains)
             quickest_ms = min((chain.token_ms for chain in chains), default=0.0)
--- a/bench/decision_costs.py
+++ b/bench/decision_costs.py
@@ -25,12 +25,12 @@
 from violethatch import clocks
 from violethatch._flow_control import FlowController
 from violethatch._hosts import Host
-from violethatch._path_choice import PathChoice
+from violethatch._path_choice import PathSelector
 from violethatch.backends import BackendServer, BackendTable
 from violethatch.desired import ServiceSpec
 from violethatch.engine_model import EngineSpec
 from violethatch.load_sums import LoadTotals, ServerTotals, server_number
-from violethatch.path_shares import Place
+from violethatch.path_shares import ZonePosition
 from violethatch.paths import LayerMap
 from violethatch.pipe_share import PipeShare
 from violethatch.placement import divide, plan_placement
@@ -103,14 +103,14 @@
     return rows
 
 
-def path_choice(servers: Sequence[BackendServer], instances: int) -> PathChoice:
+def path_choice(servers: Sequence[BackendServer], instances: int) -> PathSelector:
     """Return one instance's choice, with news of all runners."""
     backends = BackendTable(leaving_s=4.0)
     backends.replace(servers, now_s=0.0)
     loads = StreamLoads()
     news = {server_number(one.id): ServerTotals(10, 90_000.0) for one in servers}
     loads.take_others(LoadTotals(instances, 0.0, news, 0.7), now_s=clocks.now_s())
-    choice = PathChoice(
+    choice = PathSelector(
         servers[0].availability_zone,
         backends=backends,
         health=RunnerHealth(),
@@ -120,7 +120,7 @@
         pipe=PipeShare(random.Random(1)),
         instances=lambda: instances,
     )
-    choice.place = lambda: Place(0.5, max(1, instances // 3))
+    choice.zone_position = lambda: ZonePosition(0.5, max(1, instances // 3))
     return choice
 
 
@@ -165,7 +165,9 @@
         ("a path of parts that are laid", lambda: choice.path(spec)),
         (
             "a move past a lost runner",
-            lambda: choice.path(spec, avoided=lost, first=kept.first, kept=kept),
+            lambda: choice.path(
+                spec, excluded=lost, first_server=kept.first, current_path=kept
+            ),
         ),
         (
             "a trouble noted, all rests read",
--- a/bench/load_spread.py
+++ b/bench/load_spread.py
@@ -44,7 +44,13 @@
     LoadSums,
     LoadTotals,
 )
-from violethatch.path_shares import LIFE_S, UnseenStreams, lay_parts, part_count, pick
+from violethatch.path_shares import (
+    SHARES_TTL_S,
+    UnreportedStreams,
+    assign_paths,
+    part_count,
+    select_path,
+)
 from violethatch.paths import Path, Stage
 from violethatch.stream_loads import StreamLoads
 
@@ -120,9 +126,9 @@
         """Forget all that was learnt of loads."""
         self.sums = LoadSums(self.directory)
         self.loads = StreamLoads()
-        self.unseen = UnseenStreams()
+        self.unseen = UnreportedStreams()
         self.feeds: dict[tuple[str, Direction], ChangeFeed] = {}
-        self.laid: tuple[float, list[Path]] = (-LIFE_S, [])
+        self.laid: tuple[float, list[Path]] = (-SHARES_TTL_S, [])
 
 
 class Simulation:
@@ -178,16 +184,16 @@
         """Return the chain that an instance takes."""
         now_s = self.env.now
         started_s = time.process_time()
-        instance.unseen.began(now_s=now_s)
+        instance.unseen.record_start(now_s=now_s)
         if self.choice == "exact":
             return self._least(instance, self.at_chain.__getitem__)
         if self.choice == "best":
             return self._least(instance, self._thought(instance))
         laid_s, paths = instance.laid
-        if now_s - laid_s >= LIFE_S:
+        if now_s - laid_s >= SHARES_TTL_S:
             paths = self._lay(instance)
             instance.laid = (now_s, paths)
-        path = pick(paths, instance.directory.place().position, left_out=())
+        path = select_path(paths, instance.directory.place().position, excluded=())
         instance.spent_s += time.process_time() - started_s
         assert path is not None
         return self.chains[path.first.id]
@@ -222,7 +228,7 @@
         part = (
             instance.unseen.expected(
                 instances=instance.directory.place().instances,
-                news_age_s=instance.loads.others_age_s(now_s=now_s),
+                report_age_s=instance.loads.others_age_s(now_s=now_s),
                 now_s=now_s,
             )
             / parts
@@ -230,10 +236,10 @@
         )
         thought = self._thought(instance)
         known = {path.first.id: thought(self.chains[path.first.id]) for path in near}
-        return lay_parts(
+        return assign_paths(
             lambda full: min(near, key=lambda path: full[path.first.id]),
             {one: streams / SLOTS for one, streams in known.items()},
-            added=lambda path: {path.first.id: part},
+            added_utilization=lambda path: {path.first.id: part},
             parts=parts,
         )
 
--- a/src/violethatch/_chains.py
+++ b/src/violethatch/_chains.py
@@ -46,7 +46,7 @@
     requests_per_s: float
     token_ms: float
     #: Usual requests that there is room for at once.
-    at_once: float
+    concurrent_requests: float
 
 
 class _Split(NamedTuple):
@@ -62,7 +62,7 @@
 KnownSplits = dict[tuple[str, ...], _Split | None]
 
 
-def zone_groups(hosts: Sequence[Host], engine: EngineSpec) -> list[list[Host]]:
+def group_by_zone(hosts: Sequence[Host], engine: EngineSpec) -> list[list[Host]]:
     """Group hosts by zone; zones that can't hold the model go together."""
     by_zone: defaultdict[str, list[Host]] = defaultdict(list)
     for host in hosts:
@@ -122,14 +122,14 @@
     """Deal hosts into groups with about the same memory."""
     groups: list[list[Host]] = [[] for _ in range(count)]
     memory_mb = [0.0] * count
-    for host in sorted(hosts, key=lambda one: speed_order(one, engine)):
+    for host in sorted(hosts, key=lambda one: speed_sort_key(one, engine)):
         least = memory_mb.index(min(memory_mb))
         groups[least].append(host)
         memory_mb[least] += engine.kinds[host.kind].memory_mb
     return groups
 
 
-def speed_order(host: Host, engine: EngineSpec) -> tuple[float, str]:
+def speed_sort_key(host: Host, engine: EngineSpec) -> tuple[float, str]:
     """Sort key that puts fast hosts first."""
     return engine.kinds[host.kind].step_factor, host.id
 
@@ -220,7 +220,7 @@
     kinds: Iterable[AcceleratorKind], engine: EngineSpec, *, kv_tokens: float
 ) -> dict[AcceleratorKind, int]:
     """Return the most layers that a runner of each kind holds beside its KV cache."""
-    return {kind: engine.most_layers(kind, kv_tokens=kv_tokens) for kind in kinds}
+    return {kind: engine.max_layers(kind, kv_tokens=kv_tokens) for kind in kinds}
 
 
 def _split(
@@ -317,12 +317,12 @@
     at_once = _at_once(parts, engine)
     writers = max(1.0, at_once / len(parts))
     token_ms = sum(
-        engine.step_ms_of(kind, layers, writers=writers) + HOP_MS
+        engine.step_time_ms(kind, layers, batch_size=writers) + HOP_MS
         for kind, layers in parts
     )
     if at_once < 1:
         return _Measures(0.0, token_ms, at_once)
-    read_ms = sum(engine.usual_read_ms(kind, layers) for kind, layers in parts)
+    read_ms = sum(engine.usual_prefill_ms(kind, layers) for kind, layers in parts)
     by_time = at_once / (engine.usual_answer_tokens * token_ms + read_ms)
     busiest_ms = max(_busy_ms(engine, kind, layers) for kind, layers in set(parts))
     requests_per_s = _MS_PER_S * min(by_time, _BUSY_LIMIT / busiest_ms)
@@ -338,13 +338,15 @@
 
 def _at_once(parts: Sequence[tuple[AcceleratorKind, int]], engine: EngineSpec) -> float:
     """Return how many usual requests a chain has room for."""
-    room_tokens = min(engine.kv_tokens(kind, layers) for kind, layers in set(parts))
+    room_tokens = min(
+        engine.kv_capacity_tokens(kind, layers) for kind, layers in set(parts)
+    )
     return min(room_tokens / engine.usual_tokens, float(engine.slots))
 
 
 def _busy_ms(engine: EngineSpec, kind: AcceleratorKind, layers: int) -> float:
     """Return a runner's time for a usual request beside a full batch, in ms."""
-    one = engine.step_ms_of(kind, layers, writers=1.0)
-    marginal_ms = engine.step_ms_of(kind, layers, writers=2.0) - one
+    one = engine.step_time_ms(kind, layers, batch_size=1.0)
+    marginal_ms = engine.step_time_ms(kind, layers, batch_size=2.0) - one
     writing_ms = engine.usual_answer_tokens * marginal_ms
-    return writing_ms + engine.usual_read_ms(kind, layers)
+    return writing_ms + engine.usual_prefill_ms(kind, layers)
--- a/src/violethatch/_driver.py
+++ b/src/violethatch/_driver.py
@@ -17,7 +17,7 @@
 from ._engine_link import EngineLink, StageFailedError
 from ._fleet import Fleet
 from ._metrics import Metrics
-from .attempts import Attempt, RetainPool
+from .attempts import Attempt, RetainedInputPool
 from .errors import DeadlineError, NoRouteError, PipelineFailedError, Ran
 from .layers import LayerRange, tiles
 from .retries import RetryBudget
@@ -92,7 +92,7 @@
         metrics: Metrics,
         recovery: str,
         recovery_wait_s: float,
-        retained: RetainPool,
+        retained: RetainedInputPool,
     ) -> None:
         self._fleet = fleet
         self._budget = budget
@@ -174,7 +174,9 @@
 class _Run:
     """One generation in progress."""
 
-    def __init__(self, fleet: Fleet, job: Generation, *, retained: RetainPool) -> None:
+    def __init__(
+        self, fleet: Fleet, job: Generation, *, retained: RetainedInputPool
+    ) -> None:
         self.job = job
         self.excluded: set[str] = set()
         self.tokens_to_skip = 0
--- a/src/violethatch/_entry.py
+++ b/src/violethatch/_entry.py
@@ -33,7 +33,7 @@
 from ._peers import Peers
 from ._platform import HttpInstanceList, HttpObjectStore, HttpTable
 from ._services import PlainServices
-from .attempts import RetainPool
+from .attempts import RetainedInputPool
 from .errors import TableUnavailableError
 from .gossip import Gossip
 from .leases import Lease
@@ -92,7 +92,7 @@
         self._listeners: list[Listener] = []
         self._metrics = Metrics()
         self._budget = RetryBudget()
-        self._retained = RetainPool(limits.retain_bytes)
+        self._retained = RetainedInputPool(limits.retain_bytes)
         self._fleet = Fleet(policy, settings.instance, rng=self._rng)
         self._services = PlainServices(
             self._budget, timeout_s=policy.request_deadline_s
--- a/src/violethatch/_hosts.py
+++ b/src/violethatch/_hosts.py
@@ -38,12 +38,12 @@
 
 def kv_room(host: Host, layers: LayerRange, engine: EngineSpec) -> float:
     """Return the tokens whose KV cache fits on a host beside *layers*."""
-    return engine.kv_tokens(engine.kinds[host.kind], layers.size)
+    return engine.kv_capacity_tokens(engine.kinds[host.kind], layers.size)
 
 
 def can_hold(hosts: Sequence[Host], engine: EngineSpec) -> bool:
     """Tell whether hosts together hold the model and some requests."""
     tokens = least_kv_tokens(engine)
     kinds = (engine.kinds[host.kind] for host in hosts)
-    room = sum(engine.most_layers(kind, kv_tokens=tokens) for kind in kinds)
+    room = sum(engine.max_layers(kind, kv_tokens=tokens) for kind in kinds)
     return room >= engine.layer_count
--- a/src/violethatch/_layer_needs.py
+++ b/src/violethatch/_layer_needs.py
@@ -86,7 +86,7 @@
     host: Host, held: Sequence[Host], need: Sequence[float], engine: EngineSpec
 ) -> LayerRange:
     """Return the range of as many layers as fit that is needed most."""
-    most = engine.most_layers(
+    most = engine.max_layers(
         engine.kinds[host.kind], kv_tokens=_zone_kv_tokens(host, held, engine)
     )
     starts = range(engine.layer_count - most + 1)
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -14,16 +14,16 @@
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
+from .local_paths import FULL, NearFirst
 from .membership import rendezvous
-from .near_paths import FULL, NearFirst
 from .path_shares import (
-    ALONE,
-    LIFE_S,
-    Place,
-    UnseenStreams,
-    lay_parts,
+    SHARES_TTL_S,
+    SOLE_INSTANCE,
+    UnreportedStreams,
+    ZonePosition,
+    assign_paths,
     part_count,
-    pick,
+    select_path,
 )
 from .paths import LayerMap, Path
 from .pipe_share import PipeShare
@@ -71,7 +71,7 @@
 
     def is_of(self, maps: _Maps, *, now_s: float) -> bool:
         """Tell whether the parts are of these maps, and new enough."""
-        return self.maps is maps and now_s - self.laid_s < LIFE_S
+        return self.maps is maps and now_s - self.laid_s < SHARES_TTL_S
 
 
 class _View(NamedTuple):
@@ -119,7 +119,7 @@
         return is_new and self.maps is maps and self.resting == rests_s.keys()
 
 
-class Blocked(NamedTuple):
+class BlockedTime(NamedTuple):
     """How long rests block the path that is free soonest, in seconds.
 
     Attributes:
@@ -127,11 +127,11 @@
         asked_s: By what servers have asked for alone.
     """
 
-    left_s: float
-    asked_s: float
+    remaining_s: float
+    requested_s: float
 
 
-class PathChoice:
+class PathSelector:
     """Chooses paths for one instance.
 
     Args:
@@ -165,22 +165,22 @@
         self._loads = loads
         self._pipe = pipe
         self._instances = instances
-        self._unseen = UnseenStreams()
+        self._unseen = UnreportedStreams()
         self._maps: dict[str, _Maps] = {}
         self._shares: dict[str, _Shares] = {}
         self._free_first: dict[str, _FreeFirst] = {}
         self._rooms: dict[str, _KnownRoom] = {}
         #: Tells the own place among the zone's instances.
-        self.place: Callable[[], Place] = lambda: ALONE
+        self.zone_position: Callable[[], ZonePosition] = lambda: SOLE_INSTANCE
 
     def path(
         self,
         service: ServiceSpec,
         *,
-        avoided: frozenset[str] = frozenset(),
-        first: BackendServer | None = None,
-        kept: Path | None = None,
-        may_doubt: bool = False,
+        excluded: frozenset[str] = frozenset(),
+        first_server: BackendServer | None = None,
+        current_path: Path | None = None,
+        include_possibly_full: bool = False,
         priority: int = 0,
     ) -> Path | None:
         """Return the path to send along; see `Routing.path`."""
@@ -189,25 +189,29 @@
         now_s = clocks.now_s()
         maps = self._maps_of(service, service.engine)
         # What is under way at runners that rest stays there.
-        stays = kept.server_ids if kept is not None else frozenset()
+        stays = current_path.server_ids if current_path is not None else frozenset()
         steps = self._left_out(
-            avoided, stays=stays, may_doubt=may_doubt, priority=priority, now_s=now_s
+            excluded,
+            stays=stays,
+            may_doubt=include_possibly_full,
+            priority=priority,
+            now_s=now_s,
         )
-        if first is None:
+        if first_server is None:
             full = self._full_firsts(maps.whole, now_s=now_s)
             steps = list(dict.fromkeys([steps[0] | full, *steps]))
         for left_out in steps:
-            view = self._view(left_out, kept, now_s=now_s)
-            if first is None:
+            view = self._view(left_out, current_path, now_s=now_s)
+            if first_server is None:
                 path = self._shared_path(service.name, maps, view, now_s=now_s)
             else:
-                path = self._path_after(first, maps, view, now_s=now_s)
+                path = self._path_after(first_server, maps, view, now_s=now_s)
             if path is not None:
-                return self._within_pipe(path, maps, view, first, now_s=now_s)
+                return self._within_pipe(path, maps, view, first_server, now_s=now_s)
         return None
 
-    def path_apart(
-        self, service: ServiceSpec, *, avoided: frozenset[str], key: str
+    def isolated_path(
+        self, service: ServiceSpec, *, excluded: frozenset[str], key: str
     ) -> Path | None:
         """Return a path for a request under which a server has ended.
 
@@ -218,7 +222,7 @@
             return None
         now_s = clocks.now_s()
         left_out = (
-            avoided
+            excluded
             | self._health.resting(now_s=now_s)
             | self._gate.avoided(now_s=now_s)
         )
@@ -233,12 +237,16 @@
         firsts.sort(key=lambda one: self._loads.fullness(one, engine, now_s=now_s))
         emptier = {one.id: one for one in firsts[: max(2, len(firsts) // 2)]}
         for server_id in rendezvous(key, emptier, count=_MOST_FIRSTS):
-            path = self.path(service, avoided=avoided, first=emptier[server_id])
+            path = self.path(
+                service, excluded=excluded, first_server=emptier[server_id]
+            )
             if path is not None:
                 return path
         return None
 
-    def blocked(self, service: ServiceSpec, *, priority: int = 0) -> Blocked | None:
+    def blocked_time(
+        self, service: ServiceSpec, *, priority: int = 0
+    ) -> BlockedTime | None:
         """Return how long rests and limits block all paths for a priority.
 
         None where some layer has no holder, whether it rests or not.
@@ -258,7 +266,7 @@
             self._free_first[service.name] = known
         if known.path is None:
             return None
-        return Blocked(
+        return BlockedTime(
             max(rests_s.get(one, 0.0) for one in known.path.server_ids),
             max(asked_s.get(one, 0.0) for one in known.path.server_ids),
         )
@@ -273,7 +281,7 @@
         while found is not None and earliest < latest:
             middle = (earliest + latest) // 2
             left_out = {one for one, s in rests_s.items() if s > ends_s[middle]}
-            path = layer_map.find(zone=self._zone, left_out=left_out)
+            path = layer_map.find(zone=self._zone, excluded=left_out)
             if path is None:
                 earliest = middle + 1
             else:
@@ -306,7 +314,7 @@
         gone = self._health.shunned(now_s=now_s)
         return sum(
             self._loads.totals_at(one.id, now_s=now_s).streams
-            for one in self._maps_of(service, service.engine).whole.firsts
+            for one in self._maps_of(service, service.engine).whole.first_servers
             if one.id not in gone
         )
 
@@ -315,9 +323,9 @@
         assert service.engine is not None
         return self._loads.fullness(path.first, service.engine, now_s=clocks.now_s())
 
-    def began(self) -> None:
+    def record_stream_start(self) -> None:
         """Count a stream that this instance begins."""
-        self._unseen.began(now_s=clocks.now_s())
+        self._unseen.record_start(now_s=clocks.now_s())
 
     def _left_out(
         self,
@@ -354,7 +362,7 @@
         """
         return frozenset(
             one.id
-            for one in layer_map.firsts
+            for one in layer_map.first_servers
             if self._loads.slots_taken(one, now_s=now_s) >= _NO_SLOT
         )
 
@@ -373,16 +381,16 @@
         self, service: str, maps: _Maps, view: _View, *, now_s: float
     ) -> Path | None:
         """Return the path of this instance's share of new streams."""
-        position = self.place().position
+        position = self.zone_position().position
         shares = self._shares.get(service)
         if shares is not None and shares.is_of(maps, now_s=now_s):
-            path = pick(shares.paths, position, left_out=view.left_out)
+            path = select_path(shares.paths, position, excluded=view.left_out)
             if path is not None and not self._is_full(path.first, maps, now_s=now_s):
                 return path
         parts = part_count(maps.zones[self._zone].chains)
         paths = self._lay(maps, view, parts=parts, now_s=now_s)
         self._shares[service] = _Shares(maps, paths, now_s)
-        return pick(paths, position, left_out=view.left_out)
+        return select_path(paths, position, excluded=view.left_out)
 
     def _is_full(self, first: BackendServer, maps: _Maps, *, now_s: float) -> bool:
         """Tell whether a first runner has filled up since parts were laid."""
@@ -400,8 +408,8 @@
     ) -> list[Path]:
         """Lay what the zone's instances may begin, or move, onto paths."""
         unseen = self._unseen.expected(
-            instances=self.place().instances,
-            news_age_s=self._loads.others_age_s(now_s=now_s),
+            instances=self.zone_position().instances,
+            report_age_s=self._loads.others_age_s(now_s=now_s),
             now_s=now_s,
         )
         engine = maps.whole.engine
@@ -416,7 +424,7 @@
             is_quick=True if first is not None else None,
         )
         fullness = self._loads.fullness_of(maps.whole, now_s=now_s)
-        return lay_parts(search.find, fullness, added=added, parts=parts)
+        return assign_paths(search.find, fullness, added_utilization=added, parts=parts)
 
     def _added(
         self, path: Path, *, engine: EngineSpec, streams: float
@@ -428,7 +436,7 @@
         it has room for.
         """
         if path.first.availability_zone != self._zone:
-            streams *= max(1.0, self._instances() / self.place().instances)
+            streams *= max(1.0, self._instances() / self.zone_position().instances)
         return fullness_added(path, engine, streams=streams)
 
     def _path_after(
@@ -440,7 +448,7 @@
         same moment, each past the same ones.
         """
         paths = self._lay(maps, view, first=first, parts=_MOVE_PARTS, now_s=now_s)
-        return pick(paths, self.place().position, left_out=view.left_out)
+        return select_path(paths, self.zone_position().position, excluded=view.left_out)
 
     def _within_pipe(
         self,
@@ -452,15 +460,15 @@
         now_s: float,
     ) -> Path | None:
         """Return a path, or one without the hops that the pipe has no room for."""
-        if not path.crossings or self._may_cross(path, maps, now_s=now_s):
+        if not path.zone_hops or self._may_cross(path, maps, now_s=now_s):
             return path
         fullness = self._loads.fullness_of(maps.whole, now_s=now_s)
         return self._find(maps.whole, view, fullness, first=first, may_cross=False)
 
     def _may_cross(self, path: Path, maps: _Maps, *, now_s: float) -> bool:
         """Tell whether a path's hops between zones are this instance's to take."""
-        crossing_ms = maps.whole.engine.crossing_ms
-        cost_ms = path.crossings * crossing_ms * max(1, self._instances())
+        crossing_ms = maps.whole.engine.zone_transfer_ms
+        cost_ms = path.zone_hops * crossing_ms * max(1, self._instances())
         return self._pipe.may_cross(cost_ms, now_s=now_s)
 
     def _find(
@@ -475,13 +483,13 @@
         """Search for the best path over some runners."""
         return layer_map.find(
             zone=self._zone,
-            left_out=view.left_out,
-            fullness=fullness,
-            paces=view.paces,
-            first=first,
-            kept=view.kept,
-            pipe_fullness=view.pipe_fullness,
-            may_cross=may_cross,
+            excluded=view.left_out,
+            utilization=fullness,
+            slowdowns=view.paces,
+            first_server=first,
+            current_path=view.kept,
+            zone_link_utilization=view.pipe_fullness,
+            allow_zone_hops=may_cross,
         )
 
     def _maps_of(self, service: ServiceSpec, engine: EngineSpec) -> _Maps:
--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placing.py
@@ -190,10 +190,10 @@
             waiting = self._planned_orders(service, usable, now_s)
         startable = [one for one in waiting if not self._rests(one.server.id, now_s)]
         engine = service.engine
-        if engine is None or not engine.loads_at_once:
+        if engine is None or not engine.max_concurrent_loads:
             return startable
         self._waiting.add(service.name, waiting, usable.keys())
-        free = engine.loads_at_once - self._loading_count(service.name)
+        free = engine.max_concurrent_loads - self._loading_count(service.name)
         loading = [one for one in startable if one.loads][: max(0, free)]
         return loading + [one for one in startable if not one.loads]
 
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -13,13 +13,13 @@
 from ._admission import Admission
 from ._admission_ports import SpreadReturns, SummedDemand
 from ._flow_control import FlowController
-from ._path_choice import Blocked, PathChoice
+from ._path_choice import BlockedTime, PathSelector
 from ._probes import Probes
 from ._retry_budgets import RetryBudgets
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .forwarding import Forwarding, LinkWatch
-from .path_shares import Place
+from .path_shares import ZonePosition
 from .paths import Path
 from .pipe_share import PipeShare
 from .progress import Progress
@@ -116,7 +116,7 @@
         self.retries = RetryBudgets(
             settings, is_usable=lambda service: bool(self.backends.usable(service))
         )
-        self._paths = PathChoice(
+        self._paths = PathSelector(
             settings.instance.availability_zone,
             backends=self.backends,
             health=self.health,
@@ -168,10 +168,10 @@
         self.expire()
         return self._paths.path(
             service,
-            avoided=avoided,
-            first=first,
-            kept=kept,
-            may_doubt=may_doubt,
+            excluded=avoided,
+            first_server=first,
+            current_path=kept,
+            include_possibly_full=may_doubt,
             priority=priority,
         )
 
@@ -185,15 +185,15 @@
         None where there is no path that begins elsewhere.
         """
         self.expire()
-        return self._paths.path_apart(service, avoided=avoided, key=trait)
+        return self._paths.isolated_path(service, excluded=avoided, key=trait)
 
-    def blocked(self, service: ServiceSpec, *, priority: int = 0) -> Blocked | None:
+    def blocked(self, service: ServiceSpec, *, priority: int = 0) -> BlockedTime | None:
         """Return how long rests and limits block all paths for a priority.
 
         None where some layer has no holder, whether it rests or not.
         """
         self.expire()
-        return self._paths.blocked(service, priority=priority)
+        return self._paths.blocked_time(service, priority=priority)
 
     def come_back_s(self, blocked_s: float = 0.0, *, asked_s: float = 0.0) -> float:
         """Return when a caller who is turned away should come back, in seconds.
@@ -206,10 +206,10 @@
 
     def stream_began(self) -> None:
         """Count a stream that this instance begins."""
-        self._paths.began()
+        self._paths.record_stream_start()
 
     def know_instances(
-        self, *, count: Callable[[], int], place: Callable[[], Place]
+        self, *, count: Callable[[], int], place: Callable[[], ZonePosition]
     ) -> None:
         """Take in who tells of the other instances.
 
@@ -219,7 +219,7 @@
         """
         self.instances = count
         self.retries.instances = count
-        self._paths.place = place
+        self._paths.zone_position = place
 
     def usable(self, service: str) -> list[BackendServer]:
         """Return a service's servers that may get new work."""
--- a/src/violethatch/_segments.py
+++ b/src/violethatch/_segments.py
@@ -64,7 +64,7 @@
     return Segment(
         layers,
         tuple(
-            Holding(one, engine.step_ms_of(engine.kinds[one.kind], layers.size))
+            Holding(one, engine.step_time_ms(engine.kinds[one.kind], layers.size))
             for one in holders
             if one.layers and one.layers.covers(layers)
         ),
--- a/src/violethatch/_spare_layers.py
+++ b/src/violethatch/_spare_layers.py
@@ -65,7 +65,7 @@
 ) -> LayerRange:
     """Return a host's range, widened to the side where it covers more."""
     assert host.held is not None
-    most = engine.most_layers(engine.kinds[host.kind], kv_tokens=kv_tokens)
+    most = engine.max_layers(engine.kinds[host.kind], kv_tokens=kv_tokens)
     spare = most - host.held.size
     if spare <= 0:
         return host.held
--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -16,7 +16,7 @@
 
 from collections.abc import Sequence
 
-from ._chains import Chain, KnownSplits, best_chains, speed_order
+from ._chains import Chain, KnownSplits, best_chains, speed_sort_key
 from ._hosts import Host
 from .engine_model import EngineSpec
 
@@ -52,11 +52,13 @@
     if not dealt:
         return []
     options = [dealt]
-    ordered = sorted(hosts, key=lambda one: speed_order(one, engine))
+    ordered = sorted(hosts, key=lambda one: speed_sort_key(one, engine))
     for size in _first_tier_sizes(ordered, engine, known):
         first = best_chains(ordered[:size], engine, known=known)
         behind = best_chains(ordered[size:], engine, known=known)
-        options.append([one for one in (*first, *behind) if one.at_once >= _LEAST_ROOM])
+        options.append(
+            [one for one in (*first, *behind) if one.concurrent_requests >= _LEAST_ROOM]
+        )
     enough = _rate(dealt)
     load = enough * _USUAL_LOAD_PART
     good = [one for one in options if _rate(one) >= enough]
--- a/src/violethatch/attempts.py
+++ b/src/violethatch/attempts.py
@@ -13,7 +13,7 @@
 from __future__ import annotations
 
 
-class RetainPool:
+class RetainedInputPool:
     """Bounds the stage inputs that all requests of a process keep.
 
     Args:
@@ -63,7 +63,9 @@
         "tokens",
     )
 
-    def __init__(self, *, stage_count: int, pool: RetainPool | None = None) -> None:
+    def __init__(
+        self, *, stage_count: int, pool: RetainedInputPool | None = None
+    ) -> None:
         if stage_count < 1:
             msg = f"stage_count must be at least 1, not {stage_count}"
             raise ValueError(msg)
@@ -77,7 +79,7 @@
         #: The stage that is being filled with earlier positions, if any.
         self.rebuilding = False
         self.tokens: list[int] = []
-        self._pool = pool or RetainPool(0)
+        self._pool = pool or RetainedInputPool(0)
         self._retained: list[list[bytes]] | None = [[] for _ in range(stage_count)]
         self._retained_bytes = 0
 
--- a/src/violethatch/engine_model.py
+++ b/src/violethatch/engine_model.py
@@ -33,7 +33,7 @@
 
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 class EngineSpec(NamedTuple):
@@ -62,14 +62,14 @@
     #: Tokens that one pass makes, and that come in one event.
     stride_tokens: float = 1.0
     #: Loads that the store of weights serves at full rate; 0 where that is not stated.
-    loads_at_once: int = 0
+    max_concurrent_loads: int = 0
 
     def expected_load_s(self, layers: int) -> float:
         """Return how long some layers take to load at full rate, in seconds."""
         return self.load_s * layers / self.layer_count
 
     @property
-    def crossing_ms(self) -> float:
+    def zone_transfer_ms(self) -> float:
         """How long a usual prompt takes up the pipe between zones, in ms."""
         if self.pipe_mbps <= 0:
             return 0.0
@@ -86,8 +86,8 @@
         """Tokens that a usual request ends up with."""
         return self.usual_prompt_tokens + self.usual_answer_tokens
 
-    def step_ms_of(
-        self, kind: AcceleratorKind, layers: int, *, writers: float = 1.0
+    def step_time_ms(
+        self, kind: AcceleratorKind, layers: int, *, batch_size: float = 1.0
     ) -> float:
         """Return how long a step over some layers takes, in ms.
 
@@ -97,25 +97,25 @@
             writers: Requests that take part in it.
         """
         context_ms = self.usual_tokens * _PER_K * self.context_per_k_ms
-        whole_ms = self.step_ms + writers * (self.per_sequence_ms + context_ms)
+        whole_ms = self.step_ms + batch_size * (self.per_sequence_ms + context_ms)
         return whole_ms * kind.step_factor * layers / self.layer_count
 
-    def read_ms_of(self, kind: AcceleratorKind, layers: int, tokens: float) -> float:
+    def prefill_ms(self, kind: AcceleratorKind, layers: int, tokens: float) -> float:
         """Return how long reading a prompt over some layers takes, in ms."""
         pairs_ms = tokens * tokens * _PER_M * self.pairs_per_m_ms
         whole_ms = tokens / self.read_tokens_per_s / _PER_K + pairs_ms
-        return whole_ms * kind.read_factor * layers / self.layer_count
+        return whole_ms * kind.prefill_factor * layers / self.layer_count
 
-    def usual_read_ms(self, kind: AcceleratorKind, layers: int) -> float:
+    def usual_prefill_ms(self, kind: AcceleratorKind, layers: int) -> float:
         """Return how long reading a usual prompt over some layers takes, in ms."""
-        return self.read_ms_of(kind, layers, self.usual_prompt_tokens)
+        return self.prefill_ms(kind, layers, self.usual_prompt_tokens)
 
-    def kv_tokens(self, kind: AcceleratorKind, layers: int) -> float:
+    def kv_capacity_tokens(self, kind: AcceleratorKind, layers: int) -> float:
         """Return the tokens whose KV cache fits beside so many layers."""
         left_mb = kind.memory_mb - layers * self.layer_mb
         return max(0.0, left_mb) / (layers * self.kv_layer_token_mb)
 
-    def most_layers(self, kind: AcceleratorKind, *, kv_tokens: float) -> int:
+    def max_layers(self, kind: AcceleratorKind, *, kv_tokens: float) -> int:
         """Return how many layers fit beside the KV cache of so many tokens."""
         per_layer_mb = self.layer_mb + kv_tokens * self.kv_layer_token_mb
         return min(self.layer_count, int(kind.memory_mb / per_layer_mb))
--- a/src/violethatch/instances.py
+++ b/src/violethatch/instances.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from .membership import rendezvous
-from .path_shares import ALONE, Place
+from .path_shares import SOLE_INSTANCE, ZonePosition
 
 
 #: The most instances that follow one reader: a desired state of 300 KB goes out
@@ -114,7 +114,7 @@
         self._refused_until_s: dict[str, float] = {}
         self._ranks_known: _Ranks | None = None
         #: The own place, and the revision that it is of.
-        self._place = ALONE
+        self._place = SOLE_INSTANCE
         self._place_revision = 0
 
     def __len__(self) -> int:
@@ -250,7 +250,7 @@
         order = rendezvous(job, ids | {self.own.id}, count=len(ids) + 1)
         return order.index(self.own.id)
 
-    def place(self) -> Place:
+    def place(self) -> ZonePosition:
         """Return where this instance stands among those of its zone.
 
         Who is thought to be down counts too: places that change with each doubt
@@ -262,7 +262,7 @@
                 self.own.id
             }
             rank = rendezvous(_PLACE_JOB, ids, count=len(ids)).index(self.own.id)
-            self._place = Place((rank + 0.5) / len(ids), len(ids))
+            self._place = ZonePosition((rank + 0.5) / len(ids), len(ids))
             self._place_revision = self.revision
         return self._place
 
--- a/src/violethatch/path_shares.py
+++ b/src/violethatch/path_shares.py
@@ -36,7 +36,7 @@
 MOST_PARTS = 16
 #: For how long the parts are used, in seconds: much less than the age of the news
 #: that they are made from.
-LIFE_S = 0.5
+SHARES_TTL_S = 0.5
 #: How many streams for each instance of the zone are laid out while there is no news at
 #: all: one that has just started knows nothing of how much work comes.
 BLIND_STREAMS = 2.0
@@ -53,7 +53,7 @@
 SPAN_S = 2.0
 
 
-class Place(NamedTuple):
+class ZonePosition(NamedTuple):
     """An instance's place among the instances of its availability zone.
 
     Attributes:
@@ -68,7 +68,7 @@
 
 
 #: The place of an instance that knows of no other.
-ALONE = Place(0.0, 1)
+SOLE_INSTANCE = ZonePosition(0.0, 1)
 
 
 def part_count(chains: int) -> int:
@@ -79,11 +79,11 @@
     return max(PARTS, min(MOST_PARTS, chains))
 
 
-def lay_parts(
+def assign_paths(
     find: Callable[[Mapping[str, float]], Path | None],
-    fullness: Mapping[str, float],
+    utilization: Mapping[str, float],
     *,
-    added: Callable[[Path], Mapping[str, float]],
+    added_utilization: Callable[[Path], Mapping[str, float]],
     parts: int = PARTS,
 ) -> list[Path]:
     """Return the path of each part of the streams that nobody sees yet.
@@ -100,20 +100,20 @@
 
     .. versionadded:: 26.2.0
     """
-    thought = dict(fullness)
+    thought = dict(utilization)
     paths: list[Path] = []
     for _ in range(parts):
         path = find(thought)
         if path is None:
             break
         paths.append(path)
-        for server_id, more in added(path).items():
+        for server_id, more in added_utilization(path).items():
             thought[server_id] = thought.get(server_id, 0.0) + more
     return sorted(paths, key=_order)
 
 
-def pick(
-    paths: Sequence[Path], position: float, *, left_out: Collection[str]
+def select_path(
+    paths: Sequence[Path], position: float, *, excluded: Collection[str]
 ) -> Path | None:
     """Return the part at a position, or the next that uses no runner left out.
 
@@ -121,12 +121,12 @@
     """
     start = math.floor(position * len(paths))
     for path in (*paths[start:], *paths[:start]):
-        if path.server_ids.isdisjoint(left_out):
+        if path.server_ids.isdisjoint(excluded):
             return path
     return None
 
 
-class UnseenStreams:
+class UnreportedStreams:
     """How many streams of its zone an instance can't have heard of yet.
 
     .. versionadded:: 26.2.0
@@ -135,12 +135,12 @@
     def __init__(self) -> None:
         self._begun_s: collections.deque[float] = collections.deque()
 
-    def began(self, *, now_s: float) -> None:
+    def record_start(self, *, now_s: float) -> None:
         """Count a stream of this instance."""
         self._begun_s.append(now_s)
 
     def expected(
-        self, *, instances: int, news_age_s: float | None, now_s: float
+        self, *, instances: int, report_age_s: float | None, now_s: float
     ) -> float:
         """Return how many streams of the zone the known loads may lack.
 
@@ -156,10 +156,10 @@
         while self._begun_s and now_s - self._begun_s[0] > SPAN_S:
             self._begun_s.popleft()
         rate = len(self._begun_s) / SPAN_S
-        until_laid = instances * rate * LIFE_S / 2
-        if news_age_s is None:
+        until_laid = instances * rate * SHARES_TTL_S / 2
+        if report_age_s is None:
             return max(BLIND_STREAMS * instances, MARGIN * until_laid)
-        of_others = (instances - 1) * rate * news_age_s
+        of_others = (instances - 1) * rate * report_age_s
         return max(LEAST_STREAMS * instances, MARGIN * (of_others + until_laid))
 
 
--- a/src/violethatch/paths.py
+++ b/src/violethatch/paths.py
@@ -70,7 +70,7 @@
         return self.stages[0].server
 
     @property
-    def crossings(self) -> int:
+    def zone_hops(self) -> int:
         """How often hidden states pass from a zone to another."""
         zones = [stage.server.availability_zone for stage in self.stages]
         return sum(zone != after for zone, after in itertools.pairwise(zones))
@@ -167,11 +167,13 @@
         holders = [one for one in servers if one.layers and one.kind in engine.kinds]
         self.holders = {holder.id: holder for holder in holders}
         #: Those that a path may begin at.
-        self.firsts = [one for one in holders if one.layers and one.layers.first == 0]
+        self.first_servers = [
+            one for one in holders if one.layers and one.layers.first == 0
+        ]
         self._zones = sorted({holder.availability_zone for holder in holders})
         self._segments = segments(holders, engine)
         self._read_ms = {
-            name: _READ_WEIGHT * engine.usual_read_ms(kind, 1) / _left_tokens(engine)
+            name: _READ_WEIGHT * engine.usual_prefill_ms(kind, 1) / _left_tokens(engine)
             for name, kind in engine.kinds.items()
         }
         self._delay_ms = {
@@ -189,13 +191,13 @@
         self,
         *,
         zone: str,
-        left_out: Collection[str] = frozenset(),
-        fullness: Mapping[str, float] | None = None,
-        paces: Mapping[str, float] | None = None,
-        first: BackendServer | None = None,
-        kept: Path | None = None,
-        pipe_fullness: float = 0.0,
-        may_cross: bool = True,
+        excluded: Collection[str] = frozenset(),
+        utilization: Mapping[str, float] | None = None,
+        slowdowns: Mapping[str, float] | None = None,
+        first_server: BackendServer | None = None,
+        current_path: Path | None = None,
+        zone_link_utilization: float = 0.0,
+        allow_zone_hops: bool = True,
     ) -> Path | None:
         """Return the quickest path, or None if some layer can't be reached.
 
@@ -212,13 +214,25 @@
                 taken.
             may_cross: Whether hidden states may pass between zones.
         """
-        slowness = {one: _slowness(part) for one, part in (fullness or {}).items()}
-        held = {one.server.id: one.layers for one in kept.stages} if kept else {}
-        usage = _Usage(left_out, slowness, paces or {}, held, self._read_ms)
-        pipe_ms = _pipe_ms(self.engine, pipe_fullness) if may_cross else math.inf
+        slowness = {one: _slowness(part) for one, part in (utilization or {}).items()}
+        held = (
+            {one.server.id: one.layers for one in current_path.stages}
+            if current_path
+            else {}
+        )
+        usage = _Usage(excluded, slowness, slowdowns or {}, held, self._read_ms)
+        pipe_ms = (
+            _pipe_ms(self.engine, zone_link_utilization)
+            if allow_zone_hops
+            else math.inf
+        )
         entries = self._start(zone)
         head = (
-            _Head(first.id, kept.stages[0].layers if kept else None) if first else None
+            _Head(
+                first_server.id, current_path.stages[0].layers if current_path else None
+            )
+            if first_server
+            else None
         )
         ways: dict[str, _Way] = {}
         for segment in _cut_at_head(self._segments, head):
@@ -260,16 +274,19 @@
     engine: EngineSpec,
     *,
     zone: str,
-    fullness: Mapping[str, float] | None = None,
-    first: BackendServer | None = None,
-    pipe_fullness: float = 0.0,
+    utilization: Mapping[str, float] | None = None,
+    first_server: BackendServer | None = None,
+    zone_link_utilization: float = 0.0,
 ) -> Path | None:
     """Search once over some runners; see `LayerMap.find`.
 
     .. versionadded:: 26.1.0
     """
     return LayerMap(servers, engine).find(
-        zone=zone, fullness=fullness, first=first, pipe_fullness=pipe_fullness
+        zone=zone,
+        utilization=utilization,
+        first_server=first_server,
+        zone_link_utilization=zone_link_utilization,
     )
 
 
@@ -355,7 +372,7 @@
 
 def _pipe_ms(engine: EngineSpec, fullness: float) -> float:
     """Return what a hop between zones costs a token beside its delay, in ms."""
-    share_ms = engine.crossing_ms / max(1.0, engine.usual_answer_tokens)
+    share_ms = engine.zone_transfer_ms / max(1.0, engine.usual_answer_tokens)
     return _PIPE_WEIGHT * share_ms * _single_slowness(fullness)
 
 
--- a/src/violethatch/placement.py
+++ b/src/violethatch/placement.py
@@ -16,7 +16,7 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
-from ._chains import zone_groups
+from ._chains import group_by_zone
 from ._hosts import Host, with_orders
 from ._layer_needs import copied_layers, holders_by_layer, lacking_layers
 from ._spare_layers import widened
@@ -75,7 +75,7 @@
     .. versionadded:: 26.1.0
     """
     orders: dict[str, LayerRange] = {}
-    for group in zone_groups(hosts, engine):
+    for group in group_by_zone(hosts, engine):
         for chain in tiered_chains(group, engine):
             orders.update(chain.layers)
     if not orders:
--- a/src/violethatch/platform/_desired_row.py
+++ b/src/violethatch/platform/_desired_row.py
@@ -172,7 +172,7 @@
             pipe_mbps=self.pipe_mbps,
             zone_delay_ms={(one.start, one.end): one.delay_ms for one in self.delays},
             stride_tokens=self.stride,
-            loads_at_once=max(0, self.loads_at_once),
+            max_concurrent_loads=max(0, self.loads_at_once),
         )
 
 
--- a/src/violethatch/room.py
+++ b/src/violethatch/room.py
@@ -204,9 +204,9 @@
     held_tokens = engine.usual_prompt_tokens + engine.usual_answer_tokens / 2
     layer_ms = {
         name: (
-            engine.step_ms_of(kind, 1, writers=0.0),
-            engine.step_ms_of(kind, 1),
-            engine.usual_read_ms(kind, 1),
+            engine.step_time_ms(kind, 1, batch_size=0.0),
+            engine.step_time_ms(kind, 1),
+            engine.usual_prefill_ms(kind, 1),
         )
         for name, kind in engine.kinds.items()
     }
@@ -215,7 +215,7 @@
         assert one.layers is not None
         step_ms, step_of_one_ms, read_ms = layer_ms[one.kind]
         pace = paces.get(one.id, 1.0)
-        kv_tokens = engine.kv_tokens(engine.kinds[one.kind], one.layers.size)
+        kv_tokens = engine.kv_capacity_tokens(engine.kinds[one.kind], one.layers.size)
         runners.append(
             _Runner(
                 id=one.id,
@@ -383,7 +383,7 @@
                 writers_ms=sum([n * r.writer_ms * writers[r.id] for r, n in parts]),
                 read_ms=sum([n * r.read_ms for r, n in parts]),
                 reading_ms=reading / step_ms,
-                pipe_ms=len(changes) * engine.crossing_ms,
+                pipe_ms=len(changes) * engine.zone_transfer_ms,
             )
         )
     return costs
--- a/src/violethatch/stream_loads.py
+++ b/src/violethatch/stream_loads.py
@@ -130,7 +130,7 @@
             crossing_ms: How long it takes the pipe at each crossing, in ms.
             now_s: The current monotonic time, in seconds.
         """
-        self._crossings.extend([(now_s, crossing_ms)] * path.crossings)
+        self._crossings.extend([(now_s, crossing_ms)] * path.zone_hops)
         first_id = path.first.id
         self._own_by_first[first_id] = self._own_by_first.get(first_id, 0) + 1
         for stage in path.stages:
@@ -264,5 +264,5 @@
     if not token_layers or server.layers is None or kind is None:
         return 0.0
     size = server.layers.size
-    room = engine.kv_tokens(kind, size) * size
+    room = engine.kv_capacity_tokens(kind, size) * size
     return token_layers / max(room, 1.0)
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -355,7 +355,7 @@
     def _is_blocked(self, wait_s: float) -> bool:
         """Tell whether there will be no path for some time, as far as is known."""
         blocked = self._routing.blocked(self._service, priority=self._admitted.priority)
-        return blocked is None or blocked.left_s > wait_s
+        return blocked is None or blocked.remaining_s > wait_s
 
     def _make_run(self, path: Path, *, is_again: bool) -> StreamRun:
         """Return a run along a path, to be sent."""
@@ -565,12 +565,12 @@
             self._call.id, self._service.name
         )
         blocked = self._routing.blocked(self._service, priority=self._admitted.priority)
-        blocked_s = _NO_HOLDER_S if blocked is None else blocked.left_s
+        blocked_s = _NO_HOLDER_S if blocked is None else blocked.remaining_s
         retry_after_s = self._routing.admission.retry_after_s(
             self._service.name, self._request, blocked_s=blocked_s
         )
         if retry_after_s is None:
-            asked_s = 0.0 if blocked is None else blocked.asked_s
+            asked_s = 0.0 if blocked is None else blocked.requested_s
             retry_after_s = self._routing.come_back_s(blocked_s, asked_s=asked_s)
         if self._routing.link_watch.is_lost(self._service.name):
             return LinksLostError(retry_after_s=retry_after_s)
--- a/src/violethatch/streams/_run.py
+++ b/src/violethatch/streams/_run.py
@@ -108,7 +108,7 @@
         self._routing.loads.started(
             self.path,
             self._tokens,
-            crossing_ms=engine.crossing_ms if engine is not None else 0.0,
+            crossing_ms=engine.zone_transfer_ms if engine is not None else 0.0,
             now_s=clocks.now_s(),
         )
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -6,12 +6,12 @@
 import pytest
 
 from violethatch import Attempt
-from violethatch.attempts import RetainPool
+from violethatch.attempts import RetainedInputPool
 
 
 def two_stages(*, limit_bytes=100):
     """Return an attempt whose first stage has run the prompt."""
-    attempt = Attempt(stage_count=2, pool=RetainPool(limit_bytes))
+    attempt = Attempt(stage_count=2, pool=RetainedInputPool(limit_bytes))
     attempt.advance()
     attempt.note_input(b"abc")
     return attempt
@@ -53,7 +53,7 @@
 
     def test_room_is_given_back(self):
         """A request that ends, restarts or overflows leaves the pool empty."""
-        pool = RetainPool(5)
+        pool = RetainedInputPool(5)
         first = Attempt(stage_count=2, pool=pool)
         first.advance()
         first.note_input(b"abc")
--- a/tests/test_near_paths.py
+++ b/tests/test_near_paths.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from routing_samples import runner
-from violethatch.near_paths import MOST_FAR_SEARCHES, NearFirst
+from violethatch.local_paths import MOST_FAR_SEARCHES, NearFirst
 from violethatch.paths import Path, Stage
 
 
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -12,7 +12,7 @@
 from routing_samples import engine, runner
 from violethatch import _path_choice, clocks
 from violethatch.load_sums import LoadTotals, ServerTotals, server_number
-from violethatch.path_shares import Place
+from violethatch.path_shares import ZonePosition
 from violethatch.runner_health import Trouble
 from violethatch.upstream import ServerLoad, ServerSignals
 
@@ -38,7 +38,7 @@
     made = []
     for rank in range(count):
         routing = make_routing(FakeClient(), *servers, rng=random.Random(rank))
-        place = Place((rank + 0.5) / count, count)
+        place = ZonePosition((rank + 0.5) / count, count)
         routing.know_instances(count=lambda: count, place=lambda place=place: place)
         made.append(routing)
     return made
@@ -140,8 +140,8 @@
         for server in NEAR[:4]:
             one.health.note(server.id, Trouble.SILENT, now_s=now_s)
         one.health.note("n1-2", Trouble.FULL, now_s=now_s)
-        assert one.blocked(SERVICE).left_s <= 0.3
-        assert one.blocked(SERVICE).left_s > 0.0
+        assert one.blocked(SERVICE).remaining_s <= 0.3
+        assert one.blocked(SERVICE).remaining_s > 0.0
 
     def test_path_that_is_free_first(self):
         """Not the one of the quickest runners, nor that of the fewest that rest."""
@@ -152,15 +152,15 @@
             one.flow_control.record_signals(server, word, "c1")
         for _ in range(2):
             blocked = one.blocked(SERVICE)
-            assert 1.8 <= blocked.asked_s <= 2.0
-            assert blocked.left_s == blocked.asked_s
+            assert 1.8 <= blocked.requested_s <= 2.0
+            assert blocked.remaining_s == blocked.requested_s
         one.flow_control.record_signals(
             NEAR[1], ServerSignals(status=503, backoff_s=1.0, is_binding=True), "c2"
         )
-        assert one.blocked(SERVICE).asked_s <= 2.0
+        assert one.blocked(SERVICE).requested_s <= 2.0
         for server in (NEAR[3], NEAR[7]):
             one.health.note(server.id, Trouble.SILENT, now_s=now_s)
-        assert 2.0 <= one.blocked(SERVICE).left_s <= 3.0
+        assert 2.0 <= one.blocked(SERVICE).remaining_s <= 3.0
 
     def test_lacking_layers_are_not_waited_for(self):
         """Nobody knows when a layer without a holder comes back."""
--- a/tests/test_path_shares.py
+++ b/tests/test_path_shares.py
@@ -16,14 +16,14 @@
 from violethatch.path_shares import (
     BLIND_STREAMS,
     LEAST_STREAMS,
-    LIFE_S,
     MARGIN,
     PARTS,
+    SHARES_TTL_S,
     SPAN_S,
-    Place,
-    UnseenStreams,
-    lay_parts,
-    pick,
+    UnreportedStreams,
+    ZonePosition,
+    assign_paths,
+    select_path,
 )
 from violethatch.paths import LayerMap
 from violethatch.stream_loads import fullness_added
@@ -40,10 +40,12 @@
 
 def laid(streams, *, fullness=None, left_out=frozenset()):
     """Lay unseen streams onto the chains."""
-    return lay_parts(
-        lambda full: MAP.find(zone="z1", fullness=full, left_out=left_out),
+    return assign_paths(
+        lambda full: MAP.find(zone="z1", utilization=full, excluded=left_out),
         fullness or {},
-        added=lambda path: fullness_added(path, engine(), streams=streams / PARTS),
+        added_utilization=lambda path: fullness_added(
+            path, engine(), streams=streams / PARTS
+        ),
     )
 
 
@@ -100,55 +102,57 @@
         """195 instances in five zones, 39 each: all parts are in use, evenly."""
         paths = laid(120.0)
         taken = collections.Counter(
-            pick(paths, directory(f"i{n}", 39).place().position, left_out=()).first.id
+            select_path(
+                paths, directory(f"i{n}", 39).place().position, excluded=()
+            ).first.id
             for n in range(39)
         )
         assert max(taken.values()) / statistics.mean(taken.values()) <= 1.3
 
     def test_part_with_a_runner_left_out_is_passed_over(self):
         """The next part that can be used is taken."""
-        path = pick(laid(120.0), 0.0, left_out={"c0-1", "c0-0"})
+        path = select_path(laid(120.0), 0.0, excluded={"c0-1", "c0-0"})
         assert path.first.id == "c1-0"
 
     def test_without_a_usable_part_there_is_none(self):
         """All parts may lead over runners that are left alone."""
         firsts = {"c0-0", "c1-0", "c2-0"}
-        assert pick(laid(120.0), 0.4, left_out=firsts) is None
-        assert pick([], 0.4, left_out=()) is None
+        assert select_path(laid(120.0), 0.4, excluded=firsts) is None
+        assert select_path([], 0.4, excluded=()) is None
 
 
 class TestUnseenStreams:
     def test_each_instance_may_have_begun_one(self):
         """One that has just started reckons with all others of its zone."""
-        unseen = UnseenStreams()
-        got = unseen.expected(instances=39, news_age_s=None, now_s=0.0)
+        unseen = UnreportedStreams()
+        got = unseen.expected(instances=39, report_age_s=None, now_s=0.0)
         assert got == BLIND_STREAMS * 39 == 78
 
     def test_own_beginnings_stand_for_the_others(self):
         """Others begin as many a second as this one while the news is on its way."""
-        unseen = UnseenStreams()
+        unseen = UnreportedStreams()
         for n in range(8):
-            unseen.began(now_s=n * 0.2)
-        got = unseen.expected(instances=10, news_age_s=1.2, now_s=1.6)
+            unseen.record_start(now_s=n * 0.2)
+        got = unseen.expected(instances=10, report_age_s=1.2, now_s=1.6)
         rate = 8 / SPAN_S
-        assert got == pytest.approx(MARGIN * rate * (9 * 1.2 + 10 * LIFE_S / 2))
-        got = unseen.expected(instances=10, news_age_s=1.2, now_s=9.0)
+        assert got == pytest.approx(MARGIN * rate * (9 * 1.2 + 10 * SHARES_TTL_S / 2))
+        got = unseen.expected(instances=10, report_age_s=1.2, now_s=9.0)
         assert got == pytest.approx(LEAST_STREAMS * 10)
 
     def test_few_instances_with_new_news_lack_little(self):
         """Two busy instances that hear of each other at once fill no chain by doubt."""
-        unseen = UnseenStreams()
+        unseen = UnreportedStreams()
         for n in range(20):
-            unseen.began(now_s=n * 0.1)
-        got = unseen.expected(instances=2, news_age_s=0.3, now_s=2.0)
-        assert got <= MARGIN * 10 * (0.3 + LIFE_S)
+            unseen.record_start(now_s=n * 0.1)
+        got = unseen.expected(instances=2, report_age_s=0.3, now_s=2.0)
+        assert got <= MARGIN * 10 * (0.3 + SHARES_TTL_S)
 
 
 class TestPlace:
     def test_places_of_a_zone_are_spread_evenly(self):
         """No two instances of a zone stand at the same place."""
         places = sorted(directory(f"i{n}", 8).place() for n in range(8))
-        assert places == [Place((n + 0.5) / 8, 8) for n in range(8)]
+        assert places == [ZonePosition((n + 0.5) / 8, 8) for n in range(8)]
 
     def test_others_going_moves_a_place_little(self):
         """Streams stay at their runners when an instance of the zone goes."""
@@ -159,4 +163,4 @@
     def test_unknown_others_leave_it_alone(self):
         """Before the entries are read an instance takes itself for the only one."""
         made = InstanceDirectory(InstanceEntry("i0", "z1", "", "", 100.0, 0.0))
-        assert made.place() == Place(0.0, 1)
+        assert made.place() == ZonePosition(0.0, 1)
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -50,7 +50,7 @@
             runner("full", 0, 80, kind="large"),
             runner("free", 0, 80, kind="medium"),
         ]
-        path = find_path(servers, engine(), zone="z1", fullness={"full": 0.9})
+        path = find_path(servers, engine(), zone="z1", utilization={"full": 0.9})
         assert path.first.id == "free"
 
     def test_own_zone_between_equals(self):
@@ -62,23 +62,23 @@
         """The pipe between zones is spared where the request can go whole."""
         near = [runner("n1", 0, 30), runner("n3", 40, 80)]
         far = [runner("f1", 0, 30, zone="z2"), runner("f2", 30, 80, zone="z2")]
-        path = find_path([*near, *far], engine(), zone="z1", pipe_fullness=0.8)
-        assert path.crossings == 0
+        path = find_path([*near, *far], engine(), zone="z1", zone_link_utilization=0.8)
+        assert path.zone_hops == 0
         assert path.first.id == "f1"
 
     def test_crossing_where_there_is_no_other_way(self):
         """A hole in each zone is covered by the other."""
         servers = [runner("n1", 0, 40), runner("f2", 40, 80, zone="z2")]
-        assert find_path(servers, engine(), zone="z1").crossings == 1
+        assert find_path(servers, engine(), zone="z1").zone_hops == 1
 
     def test_full_pipe_is_not_crossed(self):
         """Where it may not be crossed, only whole zones make paths."""
         servers = [runner("n1", 0, 40), runner("f2", 40, 80, zone="z2")]
         layer_map = LayerMap(servers, engine())
-        assert layer_map.find(zone="z1", may_cross=False) is None
+        assert layer_map.find(zone="z1", allow_zone_hops=False) is None
         whole = LayerMap([*servers, runner("f1", 0, 40, zone="z2")], engine())
-        path = whole.find(zone="z1", may_cross=False)
-        assert (path.first.id, path.crossings) == ("f1", 0)
+        path = whole.find(zone="z1", allow_zone_hops=False)
+        assert (path.first.id, path.zone_hops) == ("f1", 0)
 
     def test_given_first_runner(self):
         """A request that runs already keeps its first runner."""
@@ -87,7 +87,7 @@
             runner("kept", 0, 30),
             runner("rest", 30, 80),
         ]
-        path = find_path(servers, engine(), zone="z1", first=servers[1])
+        path = find_path(servers, engine(), zone="z1", first_server=servers[1])
         assert stages(path)[0] == ("kept", 0, 30)
 
     @settings(max_examples=60, deadline=None)
@@ -110,7 +110,7 @@
             for n, (first, size, kind, zone, _) in enumerate(ranges)
         ]
         full = {f"r{n}": one[-1] for n, one in enumerate(ranges)}
-        path = find_path(servers, engine(), zone="z1", fullness=full)
+        path = find_path(servers, engine(), zone="z1", utilization=full)
         if path is None:
             held = {layer for one in servers for layer in range(*one.layers)}
             assert held != set(range(80))
@@ -138,7 +138,11 @@
         layer_map = LayerMap([*self.CHAIN, *self.OTHER], engine())
         path = find_path(self.CHAIN, engine(), zone="z1")
         return layer_map.find(
-            zone="z1", first=self.CHAIN[0], left_out={"c1"}, kept=path, **options
+            zone="z1",
+            first_server=self.CHAIN[0],
+            excluded={"c1"},
+            current_path=path,
+            **options,
         )
 
     def test_only_the_lost_runner_is_replaced(self):
@@ -168,14 +172,16 @@
             Stage(tail, LayerRange(ran, 80)),
         )
         path = LayerMap([first, *spares], engine()).find(
-            zone="z1", first=first, kept=Path(stages, 1.0)
+            zone="z1", first_server=first, current_path=Path(stages, 1.0)
         )
         assert path.stages[0] == stages[0]
 
     def test_without_a_path_nothing_is_kept(self):
         """New requests go where runners are emptiest."""
         layer_map = LayerMap([*self.CHAIN, *self.OTHER], engine())
-        path = layer_map.find(zone="z1", fullness={one.id: 0.3 for one in self.CHAIN})
+        path = layer_map.find(
+            zone="z1", utilization={one.id: 0.3 for one in self.CHAIN}
+        )
         assert {stage.server.id for stage in path.stages} == {
             one.id for one in self.OTHER
         }
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -81,7 +81,9 @@
         """Each runner has KV cache for many usual requests."""
         fleet = placed(SITE, plan_placement(SITE, engine()))
         rooms = [
-            engine().kv_tokens(KINDS[host.kind], host.held.end - host.held.first)
+            engine().kv_capacity_tokens(
+                KINDS[host.kind], host.held.end - host.held.first
+            )
             for host in fleet
             if host.held
         ]
@@ -137,12 +139,15 @@
         whole = [one for one in placed(fleet, plan_placement(fleet, spec)) if one.held]
         chain = best_chains(fleet, spec)[0]
         least = min(
-            spec.kv_tokens(KINDS[host.kind], chain.layers[host.id].size)
+            spec.kv_capacity_tokens(KINDS[host.kind], chain.layers[host.id].size)
             for host in fleet
             if host.id in chain.layers
         )
         for host in whole:
-            assert spec.kv_tokens(KINDS[host.kind], host.held.size) >= least * 0.999
+            assert (
+                spec.kv_capacity_tokens(KINDS[host.kind], host.held.size)
+                >= least * 0.999
+            )
 
     def test_small_ranges_are_copied_first(self):
         """A copy that stands in for whole runners is worth most."""
@@ -188,7 +193,7 @@
         counts = split_layers(kinds, engine(), kv_tokens=5_000)
         assert sum(counts) == 80
         for kind, count in zip(kinds, counts, strict=True):
-            assert count <= engine().most_layers(kind, kv_tokens=5_000)
+            assert count <= engine().max_layers(kind, kv_tokens=5_000)
 
     def test_fast_runners_hold_more(self):
         """Layers follow the speed where memory allows."""
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -134,8 +134,8 @@
     def lay(self, zone):
         """Lay streams on the best path that isn't full; tell whether there is one."""
         spec = self.engine
-        pipe = sum(n * path.crossings for path, n in self.laid.items())
-        pipe *= spec.crossing_ms / 1000 / self.stream_s
+        pipe = sum(n * path.zone_hops for path, n in self.laid.items())
+        pipe *= spec.zone_transfer_ms / 1000 / self.stream_s
         path = self.map.find(
             zone=zone,
             left_out=self.left_out,
@@ -150,7 +150,7 @@
         parts = {}  # by runner, the part of its KV cache that a stream takes
         for server, layers in path.stages:
             kind, size = spec.kinds[server.kind], server.layers.size
-            most = spec.kv_tokens(kind, size) * size / held_tokens
+            most = spec.kv_capacity_tokens(kind, size) * size / held_tokens
             parts[server.id] = layers.size / most
         left = min((1 - self.fullness[one]) / part for one, part in parts.items())
         streams = round(max(LAID[0], min(LAID[1], left / 2)))
@@ -191,7 +191,9 @@
                     reading[stage.server.id] += (
                         streams * self.read_ms(stage) / stream_ms[path]
                     )
-                pipe += streams * path.crossings * spec.crossing_ms / stream_ms[path]
+                pipe += (
+                    streams * path.zone_hops * spec.zone_transfer_ms / stream_ms[path]
+                )
             first_ms = {}
             for path in self.laid:
                 read_ms = sum(
@@ -199,7 +201,7 @@
                     for stage in path.stages
                 )
                 wait = 1 + min(pipe, 0.95) / (1 - min(pipe, 0.95)) / 2
-                crossing_ms = path.crossings * spec.crossing_ms * wait
+                crossing_ms = path.zone_hops * spec.zone_transfer_ms * wait
                 read_ms += chunks * token_ms[path] + crossing_ms
                 first_ms[path] = read_ms + spec.stride_tokens * token_ms[path]
                 stream_ms[path] = read_ms + spec.usual_answer_tokens * token_ms[path]
@@ -219,13 +221,13 @@
         kind = self.engine.kinds[stage.server.kind]
         pace = self.paces.get(stage.server.id, 1.0)
         size = stage.layers.size
-        return pace * self.engine.step_ms_of(kind, size, writers=writers)
+        return pace * self.engine.step_time_ms(kind, size, writers=writers)
 
     def read_ms(self, stage):
         """Return the time for which a stage reads a usual prompt."""
         kind = self.engine.kinds[stage.server.kind]
         pace = self.paces.get(stage.server.id, 1.0)
-        return pace * self.engine.usual_read_ms(kind, stage.layers.size)
+        return pace * self.engine.usual_prefill_ms(kind, stage.layers.size)
 
 
 def most_served(layer_map, left_out, targets, paces=None):
@@ -322,7 +324,7 @@
     def test_kv_cache(self):
         """The runner with the least KV cache for a stream's tokens bounds a chain."""
         held_tokens = WIDE.usual_prompt_tokens + WIDE.usual_answer_tokens / 2
-        least = WIDE.kv_tokens(WIDE.kinds["large"], 42) / held_tokens
+        least = WIDE.kv_capacity_tokens(WIDE.kinds["large"], 42) / held_tokens
         assert found(chain("a"), WIDE).streams == pytest.approx(least)
 
     def test_slots_bound_only_first_runners(self):
@@ -419,7 +421,7 @@
         assert free.streams == pytest.approx(found(chain("a"), WIDE).streams)
         narrow = WIDE._replace(pipe_mbps=5_000.0)
         crossing = found(servers, narrow)
-        assert 0 < crossing.starts_per_s < 1000 / narrow.crossing_ms
+        assert 0 < crossing.starts_per_s < 1000 / narrow.zone_transfer_ms
         assert crossing.streams < free.streams
         assert found(servers, WIDE._replace(pipe_mbps=500.0)) == NO_ROOM
 
@@ -454,7 +456,7 @@
         held_tokens = spec.usual_prompt_tokens + spec.usual_answer_tokens / 2
         by_layer = [
             sum(
-                spec.kv_tokens(spec.kinds[server.kind], server.layers.size)
+                spec.kv_capacity_tokens(spec.kinds[server.kind], server.layers.size)
                 for server in servers
                 if server.layers.first <= layer < server.layers.end
             )
--- a/tests/test_runner_paces.py
+++ b/tests/test_runner_paces.py
@@ -72,5 +72,5 @@
         )
         layer_map = LayerMap([quick, slow], engine())
         assert find_path([quick, slow], engine(), zone="z1").first.id == "slow"
-        path = layer_map.find(zone="z1", paces={"slow": 12.0})
+        path = layer_map.find(zone="z1", slowdowns={"slow": 12.0})
         assert path.first.id == "quick"
--- a/tests/test_stream_loads.py
+++ b/tests/test_stream_loads.py
@@ -30,7 +30,7 @@
     def test_own_streams_count(self):
         """Each own stream takes its tokens on each of its layers."""
         loads = StreamLoads()
-        room = engine().kv_tokens(engine().kinds["medium"], 14)
+        room = engine().kv_capacity_tokens(engine().kinds["medium"], 14)
         loads.started(PATH, room / 4, now_s=0.0, crossing_ms=0.0)
         assert loads.fullness(A, engine(), now_s=0.0) == pytest.approx(0.25)
         loads.ended(PATH, room / 4)
@@ -46,7 +46,7 @@
     def test_others_streams_count_like_own(self):
         """A runner is as full as all instances' streams make it."""
         loads = StreamLoads()
-        room = engine().kv_tokens(engine().kinds["medium"], 14)
+        room = engine().kv_capacity_tokens(engine().kinds["medium"], 14)
         loads.started(PATH, room / 4, now_s=0.0, crossing_ms=0.0)
         there = ServerTotals(3, room * 14 / 4)
         loads.take_others(LoadTotals(5, 0.0, {server_number("a"): there}), now_s=0.0)
@@ -74,7 +74,7 @@
         """Usual streams fill the first runner's slots, and each one's KV cache."""
         added = fullness_added(PATH, engine(), streams=48.0)
         assert added["a"] >= 0.5
-        room = engine().kv_tokens(engine().kinds["large"], 40)
+        room = engine().kv_capacity_tokens(engine().kinds["large"], 40)
         taken = 48.0 * engine().usual_tokens / room
         assert added["b"] == pytest.approx(taken)
 
@@ -112,7 +112,7 @@
         loads.started(PATH, 100.0, now_s=0.0, crossing_ms=5.0)
         totals = loads.own_totals(now_s=0.0)
         assert totals.instances == 1
-        assert totals.pipe_ms_per_s == pytest.approx(2.5 * PATH.crossings)
+        assert totals.pipe_ms_per_s == pytest.approx(2.5 * PATH.zone_hops)
         assert totals.servers[server_number("a")] == ServerTotals(1, 1400.0)
         assert totals.servers[server_number("b")].streams == 0
         loads.ended(PATH, 100.0)
@@ -124,7 +124,7 @@
         for _ in range(10):
             loads.started(PATH, 100.0, now_s=0.0, crossing_ms=7.0)
         loads.take_others(LoadTotals(5, 30.0, {}), now_s=0.0)
-        expected = 10 * PATH.crossings * 7.0 / 2000 + 0.03
+        expected = 10 * PATH.zone_hops * 7.0 / 2000 + 0.03
         assert loads.pipe_fullness(now_s=1.0) == pytest.approx(expected)
         assert loads.pipe_fullness(now_s=9.0) == pytest.approx(0.03)
 
