--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -123,8 +123,8 @@
     """How long rests block the path that is free soonest, in seconds.
 
     Attributes:
-        left_s: By what was seen and by what servers have asked for.
-        asked_s: By what servers have asked for alone.
+        remaining_s: By what was seen and by what servers have asked for.
+        requested_s: By what servers have asked for alone.
     """
 
     remaining_s: float
--- a/src/violethatch/engine_model.py
+++ b/src/violethatch/engine_model.py
@@ -28,7 +28,7 @@
     Attributes:
         memory_mb: What layers and KV cache share.
         step_factor: How much longer steps take than the engine states.
-        read_factor: How much longer reading prompts takes.
+        prefill_factor: How much longer reading prompts takes.
     """
 
     memory_mb: float
@@ -94,7 +94,7 @@
         Args:
             kind: The runner's accelerators.
             layers: How many layers the step runs.
-            writers: Requests that take part in it.
+            batch_size: Requests that take part in it.
         """
         context_ms = self.usual_tokens * _PER_K * self.context_per_k_ms
         whole_ms = self.step_ms + batch_size * (self.per_sequence_ms + context_ms)
--- a/src/violethatch/path_shares.py
+++ b/src/violethatch/path_shares.py
@@ -90,8 +90,9 @@
 
     Args:
         find: Returns the best path, given how full runners are.
-        fullness: By runner's id, how full it is known to be.
-        added: By runner's id, how much fuller one part makes a path's runners.
+        utilization: By runner's id, how full it is known to be.
+        added_utilization: By runner's id, how much fuller one part makes a path's
+            runners.
         parts: How many parts there are.
 
     Returns:
@@ -149,7 +150,7 @@
 
         Args:
             instances: The instances of the zone.
-            news_age_s: The age of what is known of their streams, in seconds, or
+            report_age_s: The age of what is known of their streams, in seconds, or
                 None if nothing is.
             now_s: The current monotonic time, in seconds.
         """
--- a/src/violethatch/paths.py
+++ b/src/violethatch/paths.py
@@ -203,16 +203,16 @@
 
         Args:
             zone: The zone to stay in where possible.
-            left_out: Ids of runners that may not be used.
-            fullness: By runner's id, the part of its room that is taken; a full
+            excluded: Ids of runners that may not be used.
+            utilization: By runner's id, the part of its room that is taken; a full
                 one counts as many times slower.
-            paces: By id, how many times longer slow runners take for a step.
-            first: The runner that has to come first, if one has to.
-            kept: The path that the request is on, if it is on one; other runners
-                than that path's would have to read its tokens first.
-            pipe_fullness: The part of the time that the pipe between zones is
+            slowdowns: By id, how many times longer slow runners take for a step.
+            first_server: The runner that has to come first, if one has to.
+            current_path: The path that the request is on, if it is on one; other
+                runners than that path's would have to read its tokens first.
+            zone_link_utilization: The part of the time that the pipe between zones is
                 taken.
-            may_cross: Whether hidden states may pass between zones.
+            allow_zone_hops: Whether hidden states may pass between zones.
         """
         slowness = {one: _slowness(part) for one, part in (utilization or {}).items()}
         held = (
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -148,17 +148,17 @@
     def test_only_the_lost_runner_is_replaced(self):
         """The others keep the request's KV cache, also where they are fuller."""
         fullness = {one.id: 0.3 for one in self.CHAIN}
-        ids = [stage.server.id for stage in self.moved(fullness=fullness).stages]
+        ids = [stage.server.id for stage in self.moved(utilization=fullness).stages]
         assert ids == ["c0", "o1", "c2", "c3"]
 
     def test_stream_that_stays_needs_no_room(self):
         """A full runner on the path has the request's KV cache already."""
-        ids = [stage.server.id for stage in self.moved(fullness={"c2": 0.95}).stages]
+        ids = [stage.server.id for stage in self.moved(utilization={"c2": 0.95}).stages]
         assert ids == ["c0", "o1", "c2", "c3"]
 
     def test_slow_runners_are_left_all_the_same(self):
         """A runner that takes ten times as long holds each token up."""
-        ids = [stage.server.id for stage in self.moved(paces={"c2": 10.0}).stages]
+        ids = [stage.server.id for stage in self.moved(slowdowns={"c2": 10.0}).stages]
         assert ids == ["c0", "o1", "o2", "c3"]
 
     @given(st.integers(1, 39), st.integers(20, 60))
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -98,7 +98,7 @@
     layer_map = planned(fleet)
     found = []
     used = frozenset()
-    while path := layer_map.find(zone="z1", left_out=used, may_cross=False):
+    while path := layer_map.find(zone="z1", excluded=used, allow_zone_hops=False):
         found.append(path.server_ids)
         used |= path.server_ids
     return found
@@ -138,11 +138,11 @@
         pipe *= spec.zone_transfer_ms / 1000 / self.stream_s
         path = self.map.find(
             zone=zone,
-            left_out=self.left_out,
-            fullness=self.fullness,
-            paces=self.paces,
-            pipe_fullness=pipe,
-            may_cross=pipe < 0.9,
+            excluded=self.left_out,
+            utilization=self.fullness,
+            slowdowns=self.paces,
+            zone_link_utilization=pipe,
+            allow_zone_hops=pipe < 0.9,
         )
         if path is None:
             return False
