--- a/src/violethatch/_flow_control.py
+++ b/src/violethatch/_flow_control.py
@@ -21,7 +21,7 @@
 from .limit_permits import Permit
 from .server_backoffs import Backoff, ServerBackoffs
 from .server_limits import Limit
-from .upstream import KeptBackError, Sending, ServerSignals
+from .upstream import KeptBackError, SendKind, ServerSignals
 
 
 #: Maximum number of servers in one log line.
@@ -56,7 +56,7 @@
         #: unknown.
         self.on_signal: Callable[[str], None] = lambda _kind: None
         #: Called with each rejected send and the reason.
-        self.on_send_rejected: Callable[[Sending, str], None] = (
+        self.on_send_rejected: Callable[[SendKind, str], None] = (
             lambda _sending, _reason: None
         )
         #: Called with a server that requests an advisory back-off, and its duration in
@@ -70,7 +70,7 @@
     async def admit(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
         *,
         priority: int = 0,
@@ -105,7 +105,7 @@
     def check_send(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
         permit: Permit | None = None,
     ) -> None:
@@ -121,10 +121,10 @@
         if rejection is None and limit is not None and not is_permitted:
             rejection = _Rejection("limit", limit=limit)
         self._raise_if_rejected(rejection, server, sending, request_id)
-        if sending is Sending.CALL:
+        if sending is SendKind.CALL:
             self.backoffs.record_send(server.id, now_s=now_s)
 
-    def settle(
+    def release_permit(
         self, server: BackendServer, permit: Permit | None, *, was_written: bool
     ) -> None:
         """Consume a permit, or keep it for another send if nothing was written."""
@@ -134,7 +134,7 @@
         self,
         rejection: _Rejection | None,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
     ) -> None:
         """Count, log and raise a rejection, if there is one.
@@ -260,7 +260,7 @@
 
     def _record_leaving(self, server: BackendServer, sent_ms: int) -> bool:
         """Record that a server is shutting down; return whether that is new."""
-        is_new = self._backends.note_leaving(
+        is_new = self._backends.mark_leaving(
             server.id, server.started_ms, sent_ms=sent_ms, now_s=clocks.now_s()
         )
         if is_new:
@@ -359,7 +359,7 @@
         return server is not None and server.service == service
 
     def _find_rejection(
-        self, server: BackendServer, sending: Sending, *, now_s: float
+        self, server: BackendServer, sending: SendKind, *, now_s: float
     ) -> _Rejection | None:
         """Return the reason to reject a send to a server, or None."""
         listed = self._backends.get(server.id)
@@ -367,14 +367,14 @@
         backoff = self.backoffs.active(server.id, started_ms=started_ms, now_s=now_s)
         if backoff is not None:
             return _Rejection("rest", backoff.until_s - now_s, backoff)
-        if sending is Sending.REPORT:
+        if sending is SendKind.REPORT:
             return None  # a liveness query adds no load
         if listed is None:
             # An unlisted server may still be running, and completes its requests.
-            return _Rejection("gone") if sending is not Sending.MOVE else None
+            return _Rejection("gone") if sending is not SendKind.MOVE else None
         if not listed.is_leaving:
             return None
-        if sending is Sending.MOVE:
+        if sending is SendKind.MOVE:
             # A server that is shutting down completes its requests, and accepts moves
             # for them until the grace period ends.
             leaving_s = self._backends.leaving_for_s(server.id, now_s=now_s)
--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -52,15 +52,15 @@
         due = self._due_silent()
         slow = self._due_slow()
         if slow:
-            await self._routing.probes.look(slow, within_s=_REPORT_TIMEOUT_S)
+            await self._routing.probes.probe(slow, timeout_s=_REPORT_TIMEOUT_S)
         if not due:
             return
-        findings = await self._routing.probes.look(due, within_s=_REPORT_TIMEOUT_S)
+        findings = await self._routing.probes.probe(due, timeout_s=_REPORT_TIMEOUT_S)
         now_s = clocks.now_s()
         for server in (*findings.silent, *findings.pending):
-            self._routing.health.prolong(server.id, now_s=now_s)
+            self._routing.health.extend_cooldown(server.id, now_s=now_s)
         for server_id in findings.reports:
-            self._routing.health.worked(server_id)
+            self._routing.health.record_success(server_id)
         if findings.reports:
             events.log(events.SERVERS_BACK, server_ids=sorted(findings.reports))
 
@@ -70,7 +70,7 @@
         Servers of plain services provide no reports.
         """
         now_s = clocks.now_s()
-        silent = self._routing.health.silent(now_s=now_s)
+        silent = self._routing.health.silent_cooldowns_s(now_s=now_s)
         self._probed_at_s = {
             server_id: probed_at_s
             for server_id, probed_at_s in self._probed_at_s.items()
@@ -88,7 +88,7 @@
     def _due_slow(self) -> list[BackendServer]:
         """Return the slow runners that are due for a probe."""
         routing = self._routing
-        server_ids = routing.paces.due(
+        server_ids = routing.paces.due_for_probe(
             instances=routing.instances(), rng=self._rng, now_s=clocks.now_s()
         )
         return self._listed_runners(server_ids)
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -29,7 +29,7 @@
 from .pipe_share import PipeShare
 from .room import Room, Targets, room
 from .runner_health import RunnerHealth
-from .runner_paces import RunnerPaces
+from .slow_runners import SlowRunners
 from .stream_loads import StreamLoads, fullness_added
 
 
@@ -152,7 +152,7 @@
         backends: BackendTable,
         health: RunnerHealth,
         flow_control: FlowController,
-        paces: RunnerPaces,
+        paces: SlowRunners,
         loads: StreamLoads,
         pipe: PipeShare,
         instances: Callable[[], int],
@@ -223,7 +223,7 @@
         now_s = clocks.now_s()
         left_out = (
             excluded
-            | self._health.resting(now_s=now_s)
+            | self._health.in_cooldown(now_s=now_s)
             | self._gate.avoided(now_s=now_s)
         )
         engine = service.engine
@@ -256,7 +256,7 @@
         maps = self._maps_of(service, service.engine)
         now_s = clocks.now_s()
         asked_s = self._gate.blocked_s(priority=priority, now_s=now_s)
-        rests_s = self._health.rests_s(now_s=now_s)
+        rests_s = self._health.cooldowns_s(now_s=now_s)
         for server_id, left_s in asked_s.items():
             rests_s[server_id] = max(left_s, rests_s.get(server_id, 0.0))
         known = self._free_first.get(service.name)
@@ -298,7 +298,7 @@
         assert service.engine is not None
         now_s = clocks.now_s()
         maps = self._maps_of(service, service.engine)
-        gone = self._health.shunned(now_s=now_s)
+        gone = self._health.excluded(now_s=now_s)
         paces = self._paces.slow(now_s=now_s)
         known = self._rooms.get(service.name)
         if known is None or not known.is_of(maps, gone, paces, targets):
@@ -311,7 +311,7 @@
         """Return the streams of all instances at the runners that are there."""
         assert service.engine is not None
         now_s = clocks.now_s()
-        gone = self._health.shunned(now_s=now_s)
+        gone = self._health.excluded(now_s=now_s)
         return sum(
             self._loads.totals_at(one.id, now_s=now_s).streams
             for one in self._maps_of(service, service.engine).whole.first_servers
@@ -347,11 +347,11 @@
         """
         closed = self._gate.blocked_s(priority=priority, now_s=now_s).keys()
         bound = avoided | (closed - stays)
-        resting = self._health.resting(now_s=now_s) | bound
+        resting = self._health.in_cooldown(now_s=now_s) | bound
         wished = self._gate.avoided(now_s=now_s) - stays
         steps = [resting | wished, resting]
         if may_doubt:
-            steps.append(self._health.shunned(now_s=now_s) | bound)
+            steps.append(self._health.excluded(now_s=now_s) | bound)
         return list(dict.fromkeys(steps))
 
     def _full_firsts(self, layer_map: LayerMap, *, now_s: float) -> frozenset[str]:
--- a/tests/test_limit_permits.py
+++ b/tests/test_limit_permits.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from asking_servers import most_within
+from signaling_servers import max_within
 from violethatch import limit_permits
 from violethatch.limit_permits import (
     MIN_LIMIT_PER_S,
@@ -92,7 +92,7 @@
 
     def max_in_window(self):
         """Return the maximum number of arrivals in any window."""
-        return most_within(sorted(self.sent_s), WINDOW_S)
+        return max_within(sorted(self.sent_s), WINDOW_S)
 
     def used_fraction(self, per_s, until_s):
         """Return the fraction of the limit that was used."""
@@ -153,7 +153,7 @@
         sent_before = len(replay.sent_s)
         replay.run(60.0, 0.5)
         after = sorted(replay.sent_s[sent_before:])
-        assert most_within(after, WINDOW_S) <= WINDOW_S * 0.5
+        assert max_within(after, WINDOW_S) <= WINDOW_S * 0.5
         assert after[0] >= 20.0 + WINDOW_S
 
     @pytest.mark.parametrize("instances", [8, 350])
@@ -184,7 +184,7 @@
         replay = Replay(8, DEMAND_PER_S * 8)
         replay.run(120.0, 0.0)
         assert len(replay.sent_s) in (3, 4)
-        assert most_within(sorted(replay.sent_s), 1 / MIN_LIMIT_PER_S) <= 1
+        assert max_within(sorted(replay.sent_s), 1 / MIN_LIMIT_PER_S) <= 1
 
 
 class TestIssuer:
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -13,7 +13,7 @@
 from violethatch import _path_choice, clocks
 from violethatch.load_sums import LoadTotals, ServerTotals, server_number
 from violethatch.path_shares import ZonePosition
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 from violethatch.upstream import ServerLoad, ServerSignals
 
 
@@ -108,7 +108,7 @@
         """Parts that were laid before are not used over it."""
         (one,) = routings(1, *NEAR)
         first = one.path(SERVICE).first
-        one.note_trouble(first, Trouble.SILENT, "c1", "gives no report")
+        one.note_trouble(first, ServerFault.SILENT, "c1", "gives no report")
         assert one.path(SERVICE).first.id != first.id
 
 
@@ -138,8 +138,8 @@
         (one,) = routings(1, *NEAR[:8])
         now_s = clocks.now_s()
         for server in NEAR[:4]:
-            one.health.note(server.id, Trouble.SILENT, now_s=now_s)
-        one.health.note("n1-2", Trouble.FULL, now_s=now_s)
+            one.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
+        one.health.record_fault("n1-2", ServerFault.FULL, now_s=now_s)
         assert one.blocked(SERVICE).remaining_s <= 0.3
         assert one.blocked(SERVICE).remaining_s > 0.0
 
@@ -159,7 +159,7 @@
         )
         assert one.blocked(SERVICE).requested_s <= 2.0
         for server in (NEAR[3], NEAR[7]):
-            one.health.note(server.id, Trouble.SILENT, now_s=now_s)
+            one.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
         assert 2.0 <= one.blocked(SERVICE).remaining_s <= 3.0
 
     def test_lacking_layers_are_not_waited_for(self):
--- a/tests/test_servers_that_ask_for_rest.py
+++ b/tests/test_servers_that_ask_for_rest.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from asking_servers import (
-    UNDER_WAY_S,
-    first_choice,
-    servers_and_machines,
+from signaling_servers import (
+    IN_FLIGHT_S,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
     slow_connects,
-    watched_lag,
 )
 
 
@@ -32,22 +32,25 @@
 async def test_backoff_is_followed(path):
     """No request reaches the server until its back-off expires; others serve them."""
     async with (
-        servers_and_machines(first_choice(path), machines=2) as (servers, machines),
-        watched_lag() as lag,
+        servers_and_instances(preferred_servers(path), machines=2) as (
+            servers,
+            machines,
+        ),
+        measure_loop_lag() as lag,
     ):
-        servers[0].asks_for = str(BACKOFF_S)
+        servers[0].retry_after = str(BACKOFF_S)
         outcomes = await asyncio.gather(
             *(
-                machine.keep_asking(
+                machine.send_repeatedly(
                     every_s=INTERVAL_S, for_s=BACKOFF_S + 0.3, path=path
                 )
                 for machine in machines
             )
         )
-        assert servers[0].said_s is not None
+        assert servers[0].first_signal_s is not None
         for machine in machines:
             repeated = servers[0].arrivals(
-                after_s=UNDER_WAY_S + lag.most_s,
+                after_s=IN_FLIGHT_S + lag.most_s,
                 until_s=BACKOFF_S,
                 machine=machine.name,
             )
@@ -61,10 +64,10 @@
 async def test_waiting_sends_follow_the_backoff(path):
     """Requests that wait for a connection are sent to another server instead."""
     async with (
-        servers_and_machines(first_choice(path)) as (servers, (machine,)),
-        watched_lag() as lag,
+        servers_and_instances(preferred_servers(path)) as (servers, (machine,)),
+        measure_loop_lag() as lag,
     ):
-        servers[0].asks_for = str(BACKOFF_S)
+        servers[0].retry_after = str(BACKOFF_S)
         delays_s = iter([0.0, *(0.55 + 0.02 * n for n in range(12))])
 
         def delay_s(address):
@@ -74,7 +77,7 @@
             slow_connects(session, delay_s)
         outcomes = await asyncio.gather(*(machine.ask(path=path) for _ in range(13)))
         repeated = servers[0].arrivals(
-            after_s=UNDER_WAY_S + lag.most_s, until_s=BACKOFF_S
+            after_s=IN_FLIGHT_S + lag.most_s, until_s=BACKOFF_S
         )
         assert repeated == []
         assert all(response.end == "whole" for response in outcomes)
--- a/tests/test_servers_that_leave.py
+++ b/tests/test_servers_that_leave.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from asking_servers import (
+from signaling_servers import (
     LEAVING_S,
-    first_choice,
-    servers_and_machines,
-    watched_lag,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
 )
 
 
@@ -25,14 +25,17 @@
 async def test_leaving_server_gets_no_requests(path, is_rejecting):
     """No request is sent after the first such response, whatever the list says."""
     async with (
-        servers_and_machines(first_choice(path), machines=2) as (servers, machines),
-        watched_lag() as lag,
+        servers_and_instances(preferred_servers(path), machines=2) as (
+            servers,
+            machines,
+        ),
+        measure_loop_lag() as lag,
     ):
         servers[0].is_leaving = True
-        servers[0].asks_for = "0" if is_rejecting else None
+        servers[0].retry_after = "0" if is_rejecting else None
         outcomes = await asyncio.gather(
             *(
-                machine.keep_asking(every_s=0.02, for_s=1.0, path=path)
+                machine.send_repeatedly(every_s=0.02, for_s=1.0, path=path)
                 for machine in machines
             )
         )
--- a/tests/test_servers_that_name_a_limit.py
+++ b/tests/test_servers_that_name_a_limit.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from asking_servers import (
-    first_choice,
-    join_machines,
-    most_within,
-    servers_and_machines,
-    watched_lag,
+from signaling_servers import (
+    join_instances,
+    max_within,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
 )
 
 
@@ -39,26 +39,26 @@
 async def test_total_stays_within_the_limit(path, instances):
     """All instances together stay within the limit; other servers serve the rest."""
     async with (
-        servers_and_machines(first_choice(path), machines=instances) as (
+        servers_and_instances(preferred_servers(path), machines=instances) as (
             servers,
             machines,
         ),
-        watched_lag() as lag,
+        measure_loop_lag() as lag,
     ):
-        join_machines(machines)
+        join_instances(machines)
         await machines[0].ask(path=path)
         (limited,) = (server for server in servers if server.ran)
         limited.limit_a_s = str(LIMIT_PER_S)
         outcomes = await asyncio.gather(
             *(
-                machine.keep_asking(every_s=INTERVAL_S, for_s=DURATION_S, path=path)
+                machine.send_repeatedly(every_s=INTERVAL_S, for_s=DURATION_S, path=path)
                 for machine in machines
             )
         )
         arrivals_s = limited.arrival_times(
             after_s=NOTIFIED_WITHIN_S, until_s=DURATION_S
         )
-        max_arrivals = most_within(arrivals_s, WINDOW_S - lag.most_s)
+        max_arrivals = max_within(arrivals_s, WINDOW_S - lag.most_s)
         assert max_arrivals <= int(WINDOW_S * LIMIT_PER_S)
         assert all(
             response.end == "whole" for responses in outcomes for response in responses
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -9,13 +9,6 @@
 
 import pytest
 
-from asking_servers import (
-    LEAVING_S,
-    first_choice,
-    servers_and_machines,
-    slow_connects,
-    watched_lag,
-)
 from mortal_fleet import Fleet, Servers
 from router_fakes import (
     FakeAnswer,
@@ -29,13 +22,20 @@
     report,
 )
 from routing_samples import runner
+from signaling_servers import (
+    LEAVING_S,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
+    slow_connects,
+)
 from violethatch import clocks
 from violethatch import events as log_events
 from violethatch.errors import OverloadedError
 from violethatch.layers import LayerRange
 from violethatch.limit_permits import Permit
 from violethatch.paths import Path, Stage
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 from violethatch.streams import StreamCall
 from violethatch.upstream import (
     KeptBackError,
@@ -43,7 +43,7 @@
     OrderOutcome,
     Refusal,
     Send,
-    Sending,
+    SendKind,
     ServerSignals,
 )
 
@@ -102,7 +102,7 @@
     @pytest.mark.parametrize("kind", SEND_KINDS)
     async def test_backoff_blocks(self, kind):
         """Nothing is written, and the caller gets the rejection."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -116,7 +116,7 @@
     @pytest.mark.parametrize("kind", SEND_KINDS)
     async def test_no_backoff(self, kind):
         """Without a back-off each kind of send reaches the server."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -134,7 +134,7 @@
     )
     async def test_server_that_is_shutting_down(self, kind, at_once, later):
         """New work is rejected at once, moves after the grace period, reports never."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -148,7 +148,7 @@
 
     async def test_server_that_is_no_longer_listed(self):
         """A send that was scheduled before the entry was removed is not written."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -159,7 +159,7 @@
 
     async def test_connection_is_reused(self):
         """A rejection right before the write doesn't close the connection."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -178,7 +178,7 @@
 
     async def test_backoff_of_a_previous_start(self):
         """A back-off doesn't apply to a new start, once that is listed."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -193,7 +193,7 @@
 
     async def test_entry_that_is_removed_and_added(self):
         """Back-offs and shutdowns stay in force when an entry is removed and added."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -235,12 +235,15 @@
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_all_servers_back_off(self, path, log_lines):
         """The error is immediate: not run, retry when the first back-off expires."""
-        async with servers_and_machines(first_choice(path)) as (servers, machines):
+        async with servers_and_instances(preferred_servers(path)) as (
+            servers,
+            machines,
+        ):
             flow_control = machines[0].router.routing.flow_control
             for number, server in enumerate(servers):
                 signals = BACKOFF._replace(backoff_s=20.0 - number)
                 flow_control.record_signals(server.listed, signals, f"c{number}")
-            async with watched_lag() as lag:
+            async with measure_loop_lag() as lag:
                 started_s = clocks.now_s()
                 error = await machines[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
@@ -258,12 +261,15 @@
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_available_server_is_used(self, path):
         """No caller is rejected, and no retry spent, while a server is available."""
-        async with servers_and_machines(first_choice(path)) as (servers, machines):
+        async with servers_and_instances(preferred_servers(path)) as (
+            servers,
+            machines,
+        ):
             for server in servers[:-1]:
                 machines[0].router.routing.flow_control.record_signals(
                     server.listed, BACKOFF, "c0"
                 )
-            responses = await machines[0].keep_asking(
+            responses = await machines[0].send_repeatedly(
                 every_s=0.01, for_s=0.3, path=path
             )
             assert all(response.end == "whole" for response in responses)
@@ -271,24 +277,24 @@
 
     async def test_cooldown_is_preferred_to_a_backoff(self):
         """A server in cooldown is preferred to one that requested a back-off."""
-        async with servers_and_machines(first_choice("/label/1")) as (
+        async with servers_and_instances(preferred_servers("/label/1")) as (
             servers,
             machines,
         ):
             routing = machines[0].router.routing
             routing.flow_control.record_signals(servers[0].listed, BACKOFF, "c0")
-            routing.health.note("s2", Trouble.SILENT, now_s=clocks.now_s())
+            routing.health.record_fault("s2", ServerFault.SILENT, now_s=clocks.now_s())
             assert (await machines[0].ask(path="/label/1")).end == "whole"
             assert servers[0].arrived == []
 
     async def test_rejecting_server_is_not_retried(self):
         """After a back-off of zero, too, a call is sent to each server only once."""
-        async with servers_and_machines(first_choice("/label/1")) as (
+        async with servers_and_instances(preferred_servers("/label/1")) as (
             servers,
             machines,
         ):
             for server in servers:
-                server.asks_for = "0"
+                server.retry_after = "0"
             error = await machines[0].ask(path="/label/1")
             assert error.ran == "no"
             assert [len(server.arrived) for server in servers] == [1, 1]
@@ -296,7 +302,7 @@
     async def test_advisory_backoff(self):
         """A server with an advisory back-off is used as a last resort."""
         advisory = ServerSignals(status=429, backoff_s=1.0)
-        async with servers_and_machines(first_choice("/label/1")) as (
+        async with servers_and_instances(preferred_servers("/label/1")) as (
             servers,
             machines,
         ):
@@ -414,7 +420,7 @@
 
     async def repath(server, call_id, path):
         try:
-            routing.flow_control.check_send(server, Sending.MOVE, call_id)
+            routing.flow_control.check_send(server, SendKind.MOVE, call_id)
         except KeptBackError:
             return OrderAnswer(OrderOutcome.KEPT_BACK)
         return await move(server, call_id, path)
@@ -477,7 +483,7 @@
         )
         routing.flow_control.record_signals(a, BACKOFF, "c1")
         with pytest.raises(KeptBackError):
-            routing.flow_control.check_send(a, Sending.CALL, "c2")
+            routing.flow_control.check_send(a, SendKind.CALL, "c2")
         (signals,) = fields_of(log_lines, log_events.SERVER_WORD)
         assert (
             signals["request_id"],
@@ -494,7 +500,7 @@
             "rest",
             "c1",
         )
-        assert rejections == [(Sending.CALL, "rest")]
+        assert rejections == [(SendKind.CALL, "rest")]
 
 
 LIMITED = ServerSignals(status=200, limit_per_s=0.5)
@@ -514,7 +520,7 @@
     @pytest.mark.parametrize("kind", SEND_KINDS)
     async def test_every_send_needs_a_permit(self, kind):
         """Nothing is written without one, and the caller gets the rejection."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -525,7 +531,7 @@
     @pytest.mark.parametrize("kind", SEND_KINDS)
     async def test_every_send_consumes_a_permit(self, kind):
         """Every send counts towards the shared limit."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -544,7 +550,7 @@
 
     async def test_permit_expires_during_connect(self):
         """A send with an expired permit is not written."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -552,7 +558,7 @@
             receive(machines[0], servers[0], HIGH_LIMIT)
             expired = Permit(clocks.now_s() - 0.01)
             with pytest.raises(KeptBackError):
-                flow_control.check_send(servers[0].listed, Sending.CALL, "c1", expired)
+                flow_control.check_send(servers[0].listed, SendKind.CALL, "c1", expired)
             slow_connects(machines[0].kept, lambda _address: 0.3)
             flow_control.limits.permits.add("s1", Permit(clocks.now_s() + 0.1))
             with pytest.raises(KeptBackError):
@@ -561,7 +567,7 @@
 
     async def test_limit_is_received_during_connect(self):
         """A send that was scheduled without a permit is not written."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -577,24 +583,24 @@
 
     async def test_unused_permit_is_reused(self):
         """The next send uses it, until it expires."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
             flow_control = machines[0].router.routing.flow_control
             receive(machines[0], servers[0], LIMITED)
             permit = Permit(clocks.now_s() + 5.0)
-            flow_control.settle(servers[0].listed, permit, was_written=False)
+            flow_control.release_permit(servers[0].listed, permit, was_written=False)
             assert (
-                await flow_control.admit(servers[0].listed, Sending.CALL, "c1")
+                await flow_control.admit(servers[0].listed, SendKind.CALL, "c1")
                 == permit
             )
             with pytest.raises(KeptBackError):
-                await flow_control.admit(servers[0].listed, Sending.CALL, "c2")
+                await flow_control.admit(servers[0].listed, SendKind.CALL, "c2")
 
     async def test_no_permit_is_requested_during_a_backoff(self):
         """The permit would be wasted."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -602,17 +608,20 @@
             receive(machines[0], servers[0], LIMITED)
             flow_control.record_signals(servers[0].listed, BACKOFF, "c0")
             with pytest.raises(KeptBackError) as caught:
-                await flow_control.admit(servers[0].listed, Sending.CALL, "c1")
+                await flow_control.admit(servers[0].listed, SendKind.CALL, "c1")
             assert caught.value.reason == "rest"
             assert len(flow_control.limits.issuers) == 0
 
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_all_servers_are_limited(self, path, log_lines):
         """The error is immediate: not run, with a retry time; the limits are logged."""
-        async with servers_and_machines(first_choice(path)) as (servers, machines):
+        async with servers_and_instances(preferred_servers(path)) as (
+            servers,
+            machines,
+        ):
             for number, server in enumerate(servers):
                 receive(machines[0], server, LIMITED, f"c{number}")
-            async with watched_lag() as lag:
+            async with measure_loop_lag() as lag:
                 started_s = clocks.now_s()
                 error = await machines[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
@@ -629,7 +638,7 @@
 
     async def test_urgent_request_is_not_blocked(self):
         """It may use a path that is blocked for less urgent ones."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -637,7 +646,7 @@
             receive(machines[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
                 await routing.flow_control.admit(
-                    servers[0].listed, Sending.CALL, "c1", priority=2
+                    servers[0].listed, SendKind.CALL, "c1", priority=2
                 )
             now_s = clocks.now_s()
             assert set(routing.flow_control.blocked_s(priority=2, now_s=now_s)) == {
@@ -651,7 +660,7 @@
 
     async def test_no_retry_budget_is_used(self):
         """A send that is known to be rejected uses no retry budget."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -665,7 +674,7 @@
 
     async def test_limit_is_lifted(self):
         """A response without a limit lifts it; traffic resumes after a delay."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -684,7 +693,7 @@
 
     async def test_new_start_has_no_limit(self):
         """A limit applies to one start, like a back-off."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
@@ -701,7 +710,7 @@
 
     async def test_limit_with_a_backoff(self):
         """Both signals of one response apply."""
-        async with servers_and_machines(first_choice("/draft/1")) as (
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
             machines,
         ):
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from asking_servers import (
+from routing_samples import plain_server, runner
+from signaling_servers import (
     ID,
+    IN_FLIGHT_S,
     LEAVING_S,
-    UNDER_WAY_S,
-    join_machines,
-    most_within,
-    servers_and_machines,
+    join_instances,
+    max_within,
+    measure_loop_lag,
+    servers_and_instances,
     slow_connects,
-    watched_lag,
 )
-from routing_samples import plain_server, runner
 from violethatch import clocks
 from violethatch._send_checks import CheckedRequest
 
@@ -60,9 +60,9 @@
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
             change = self.rng.random()
             if change < 0.45:
-                self.server.asks_for = self.rng.choice(RETRY_AFTER_VALUES)
+                self.server.retry_after = self.rng.choice(RETRY_AFTER_VALUES)
             elif change < 0.85:
-                self.server.asks_for = None
+                self.server.retry_after = None
             elif change < 0.93:
                 self.server.is_leaving = True
             else:
@@ -83,7 +83,7 @@
     while clocks.now_s() < end_s:
         await asyncio.sleep(rng.uniform(0.2, 0.6))
         for server in servers:
-            server.asks_for = rng.choice(list(BACKOFFS_S))
+            server.retry_after = rng.choice(list(BACKOFFS_S))
 
 
 #: Maximum delay of the list update for a new start, in seconds.
@@ -186,7 +186,7 @@
         for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
         if arrived_id.startswith(machine)
         and arrived_ms == started_ms
-        and sent_s + UNDER_WAY_S + lag_s
+        and sent_s + IN_FLIGHT_S + lag_s
         <= arrived_s
         < sent_s + BACKOFFS_S.get(value, 0.0)
     ]
@@ -224,11 +224,11 @@
         *(plain_server(f"p{n}", started_ms=1) for n in range(2)),
     ]
     async with (
-        servers_and_machines(listed, machines=MACHINES, seed=seed) as (
+        servers_and_instances(listed, machines=MACHINES, seed=seed) as (
             servers,
             machines,
         ),
-        watched_lag() as lag,
+        measure_loop_lag() as lag,
     ):
         recorder = Recorder(monkeypatch, machines)
         end_s = clocks.now_s() + DURATION_S
@@ -243,7 +243,7 @@
             reject_all(group, rng, end_s) for group in (servers[:3], servers[3:])
         ]
         load = [
-            machine.keep_asking(every_s=0.02, for_s=DURATION_S, path=path)
+            machine.send_repeatedly(every_s=0.02, for_s=DURATION_S, path=path)
             for machine in machines
             for path in ("/draft/1", "/label/1")
         ]
@@ -317,7 +317,7 @@
                 if notified_s + NOTIFIED_WITHIN_S + lag_s <= arrived_s < end_s
             ]
             allowed = max(1, int(WINDOW_S * float(value)))
-            max_arrivals = most_within(arrivals_s, WINDOW_S - lag_s)
+            max_arrivals = max_within(arrivals_s, WINDOW_S - lag_s)
             if max_arrivals > allowed:
                 violations.append((value, max_arrivals, allowed))
         return violations
@@ -344,13 +344,13 @@
         *(plain_server(f"p{n}") for n in range(2)),
     ]
     async with (
-        servers_and_machines(listed, machines=LIMIT_MACHINES, seed=seed) as (
+        servers_and_instances(listed, machines=LIMIT_MACHINES, seed=seed) as (
             servers,
             machines,
         ),
-        watched_lag() as lag,
+        measure_loop_lag() as lag,
     ):
-        join_machines(machines, seed=seed).lost_part = LOST_FRACTION
+        join_instances(machines, seed=seed).lost_part = LOST_FRACTION
         end_s = clocks.now_s() + LIMITS_DURATION_S
         for machine in machines:
             for session in (machine.kept, machine.fresh):
@@ -359,7 +359,7 @@
                 )
         changers = [LimitChanges(server, rng) for server in servers]
         load = [
-            machine.keep_asking(every_s=0.05, for_s=LIMITS_DURATION_S, path=path)
+            machine.send_repeatedly(every_s=0.05, for_s=LIMITS_DURATION_S, path=path)
             for machine in machines
             for path in ("/draft/1", "/label/1")
         ]
