--- a/src/violethatch/_probes.py
+++ b/src/violethatch/_probes.py
@@ -32,7 +32,7 @@
     Attributes:
         silent: Those that refuse the connection, or gave no answer in a probe's time.
         pending: Those that have not answered yet.
-        unasked: Those that want nothing now, so that they were not asked.
+        skipped: Those that want nothing now, so that they were not asked.
         reports: By id, what the others told.
     """
 
@@ -73,7 +73,7 @@
 
         Args:
             servers: Whom to ask.
-            within_s: How long to wait for answers, in seconds of running time; the
+            timeout_s: How long to wait for answers, in seconds of running time; the
                 probes go on.
         """
         asked = list(servers)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -219,7 +219,7 @@
     async def admit(self, _server, _sending, _request_id, *, priority):
         return None
 
-    def settle(self, _server, _permit, *, was_written):
+    def release_permit(self, _server, _permit, *, was_written):
         assert not was_written
 
     def check_send(self, _server, _sending, _request_id, _permit):
