--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -103,7 +103,7 @@
 
     async def test_slow_runner_is_probed_again(self, monkeypatch):
         """A report of normal speed clears the slow state."""
-        monkeypatch.setattr(runner_paces, "_ASK_AGAIN_S", 0.0)
+        monkeypatch.setattr(slow_runners, "_ASK_AGAIN_S", 0.0)
         client = FakeClient()
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -221,7 +221,7 @@
         kind = self.engine.kinds[stage.server.kind]
         pace = self.paces.get(stage.server.id, 1.0)
         size = stage.layers.size
-        return pace * self.engine.step_time_ms(kind, size, writers=writers)
+        return pace * self.engine.step_time_ms(kind, size, batch_size=writers)
 
     def read_ms(self, stage):
         """Return the time for which a stage reads a usual prompt."""
