--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -10,7 +10,7 @@
 
 from router_fakes import FakeClient, make_routing, report
 from routing_samples import plain_server, runner
-from violethatch import _health_checks, clocks
+from violethatch import _health_checks, clocks, slow_runners
 from violethatch._health_checks import HealthCheckLoop
 from violethatch.runner_health import ServerFault
 
--- a/tests/test_servers_that_ask_for_rest.py
+++ b/tests/test_servers_that_ask_for_rest.py
@@ -34,25 +34,25 @@
     async with (
         servers_and_instances(preferred_servers(path), machines=2) as (
             servers,
-            machines,
+            instances,
         ),
         measure_loop_lag() as lag,
     ):
         servers[0].retry_after = str(BACKOFF_S)
         outcomes = await asyncio.gather(
             *(
-                machine.send_repeatedly(
+                instance.send_repeatedly(
                     every_s=INTERVAL_S, for_s=BACKOFF_S + 0.3, path=path
                 )
-                for machine in machines
+                for instance in instances
             )
         )
         assert servers[0].first_signal_s is not None
-        for machine in machines:
+        for instance in instances:
             repeated = servers[0].arrivals(
                 after_s=IN_FLIGHT_S + lag.most_s,
                 until_s=BACKOFF_S,
-                machine=machine.name,
+                machine=instance.name,
             )
             assert repeated == []
         assert all(
@@ -64,7 +64,7 @@
 async def test_waiting_sends_follow_the_backoff(path):
     """Requests that wait for a connection are sent to another server instead."""
     async with (
-        servers_and_instances(preferred_servers(path)) as (servers, (machine,)),
+        servers_and_instances(preferred_servers(path)) as (servers, (instance,)),
         measure_loop_lag() as lag,
     ):
         servers[0].retry_after = str(BACKOFF_S)
@@ -73,9 +73,9 @@
         def delay_s(address):
             return next(delays_s, 0.0) if address == servers[0].listed.address else 0.0
 
-        for session in (machine.kept, machine.fresh):
+        for session in (instance.kept, instance.fresh):
             slow_connects(session, delay_s)
-        outcomes = await asyncio.gather(*(machine.ask(path=path) for _ in range(13)))
+        outcomes = await asyncio.gather(*(instance.ask(path=path) for _ in range(13)))
         repeated = servers[0].arrivals(
             after_s=IN_FLIGHT_S + lag.most_s, until_s=BACKOFF_S
         )
--- a/tests/test_servers_that_leave.py
+++ b/tests/test_servers_that_leave.py
@@ -27,7 +27,7 @@
     async with (
         servers_and_instances(preferred_servers(path), machines=2) as (
             servers,
-            machines,
+            instances,
         ),
         measure_loop_lag() as lag,
     ):
@@ -35,8 +35,8 @@
         servers[0].retry_after = "0" if is_rejecting else None
         outcomes = await asyncio.gather(
             *(
-                machine.send_repeatedly(every_s=0.02, for_s=1.0, path=path)
-                for machine in machines
+                instance.send_repeatedly(every_s=0.02, for_s=1.0, path=path)
+                for instance in instances
             )
         )
         after_s = LEAVING_S + lag.most_s
--- a/tests/test_servers_that_name_a_limit.py
+++ b/tests/test_servers_that_name_a_limit.py
@@ -34,25 +34,27 @@
 INTERVAL_S = 0.04
 
 
-@pytest.mark.parametrize("instances", [1, 6])
+@pytest.mark.parametrize("count", [1, 6])
 @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
-async def test_total_stays_within_the_limit(path, instances):
+async def test_total_stays_within_the_limit(path, count):
     """All instances together stay within the limit; other servers serve the rest."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=instances) as (
+        servers_and_instances(preferred_servers(path), machines=count) as (
             servers,
-            machines,
+            instances,
         ),
         measure_loop_lag() as lag,
     ):
-        join_instances(machines)
-        await machines[0].ask(path=path)
+        join_instances(instances)
+        await instances[0].ask(path=path)
         (limited,) = (server for server in servers if server.ran)
         limited.limit_a_s = str(LIMIT_PER_S)
         outcomes = await asyncio.gather(
             *(
-                machine.send_repeatedly(every_s=INTERVAL_S, for_s=DURATION_S, path=path)
-                for machine in machines
+                instance.send_repeatedly(
+                    every_s=INTERVAL_S, for_s=DURATION_S, path=path
+                )
+                for instance in instances
             )
         )
         arrivals_s = limited.arrival_times(
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -104,13 +104,13 @@
         """Nothing is written, and the caller gets the rejection."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             server = servers[0].listed
-            machines[0].router.routing.flow_control.record_signals(
+            instances[0].router.routing.flow_control.record_signals(
                 server, BACKOFF, "c0"
             )
-            assert await is_rejected(machines[0].client, server, kind)
+            assert await is_rejected(instances[0].client, server, kind)
             assert servers[0].arrived == []
 
     @pytest.mark.parametrize("kind", SEND_KINDS)
@@ -118,9 +118,9 @@
         """Without a back-off each kind of send reaches the server."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            assert not await is_rejected(machines[0].client, servers[0].listed, kind)
+            assert not await is_rejected(instances[0].client, servers[0].listed, kind)
             assert len(servers[0].arrived) == 1
 
     @pytest.mark.parametrize(
@@ -136,34 +136,34 @@
         """New work is rejected at once, moves after the grace period, reports never."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             server = servers[0].listed
-            machines[0].router.routing.flow_control.record_signals(
+            instances[0].router.routing.flow_control.record_signals(
                 server, LEAVING, "c0"
             )
-            assert await is_rejected(machines[0].client, server, kind) is at_once
+            assert await is_rejected(instances[0].client, server, kind) is at_once
             await asyncio.sleep(LEAVING_S)
-            assert await is_rejected(machines[0].client, server, kind) is later
+            assert await is_rejected(instances[0].client, server, kind) is later
 
     async def test_server_that_is_no_longer_listed(self):
         """A send that was scheduled before the entry was removed is not written."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             server = servers[0].listed
-            machines[0].list({server.id: None})
-            assert await is_rejected(machines[0].client, server, "call")
+            instances[0].list({server.id: None})
+            assert await is_rejected(instances[0].client, server, "call")
             assert servers[0].arrived == []
 
     async def test_connection_is_reused(self):
         """A rejection right before the write doesn't close the connection."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            server, client = servers[0].listed, machines[0].client
+            server, client = servers[0].listed, instances[0].client
             (await client.send(send_to(server))).close(is_whole=True)
             await asyncio.sleep(0.05)
             flow_control = client.gate
@@ -180,34 +180,34 @@
         """A back-off doesn't apply to a new start, once that is listed."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             server = servers[0].listed._replace(started_ms=5)
-            machines[0].list({server.id: server})
-            machines[0].router.routing.flow_control.record_signals(
+            instances[0].list({server.id: server})
+            instances[0].router.routing.flow_control.record_signals(
                 server, BACKOFF, "c0"
             )
-            assert await is_rejected(machines[0].client, server, "call")
-            machines[0].list({server.id: server._replace(started_ms=9)})
-            assert not await is_rejected(machines[0].client, server, "call")
+            assert await is_rejected(instances[0].client, server, "call")
+            instances[0].list({server.id: server._replace(started_ms=9)})
+            assert not await is_rejected(instances[0].client, server, "call")
 
     async def test_entry_that_is_removed_and_added(self):
         """Back-offs and shutdowns stay in force when an entry is removed and added."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             server, second_server = servers[0].listed, servers[1].listed
-            machines[0].router.routing.flow_control.record_signals(
+            instances[0].router.routing.flow_control.record_signals(
                 server, BACKOFF, "c0"
             )
-            machines[0].router.routing.flow_control.record_signals(
+            instances[0].router.routing.flow_control.record_signals(
                 second_server, LEAVING, "c0"
             )
-            machines[0].list({server.id: None, second_server.id: None})
-            machines[0].list({server.id: server, second_server.id: second_server})
-            assert await is_rejected(machines[0].client, server, "call")
-            assert await is_rejected(machines[0].client, second_server, "call")
+            instances[0].list({server.id: None, second_server.id: None})
+            instances[0].list({server.id: server, second_server.id: second_server})
+            assert await is_rejected(instances[0].client, server, "call")
+            assert await is_rejected(instances[0].client, second_server, "call")
 
 
 class _ScriptedFlowControl:
@@ -237,15 +237,15 @@
         """The error is immediate: not run, retry when the first back-off expires."""
         async with servers_and_instances(preferred_servers(path)) as (
             servers,
-            machines,
+            instances,
         ):
-            flow_control = machines[0].router.routing.flow_control
+            flow_control = instances[0].router.routing.flow_control
             for number, server in enumerate(servers):
                 signals = BACKOFF._replace(backoff_s=20.0 - number)
                 flow_control.record_signals(server.listed, signals, f"c{number}")
             async with measure_loop_lag() as lag:
                 started_s = clocks.now_s()
-                error = await machines[0].ask(path=path)
+                error = await instances[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
             assert took_s < 0.1 + lag.most_s
             assert (error.code, error.ran) == (OverloadedError.code, "no")
@@ -263,13 +263,13 @@
         """No caller is rejected, and no retry spent, while a server is available."""
         async with servers_and_instances(preferred_servers(path)) as (
             servers,
-            machines,
+            instances,
         ):
             for server in servers[:-1]:
-                machines[0].router.routing.flow_control.record_signals(
+                instances[0].router.routing.flow_control.record_signals(
                     server.listed, BACKOFF, "c0"
                 )
-            responses = await machines[0].send_repeatedly(
+            responses = await instances[0].send_repeatedly(
                 every_s=0.01, for_s=0.3, path=path
             )
             assert all(response.end == "whole" for response in responses)
@@ -279,23 +279,23 @@
         """A server in cooldown is preferred to one that requested a back-off."""
         async with servers_and_instances(preferred_servers("/label/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            routing = machines[0].router.routing
+            routing = instances[0].router.routing
             routing.flow_control.record_signals(servers[0].listed, BACKOFF, "c0")
             routing.health.record_fault("s2", ServerFault.SILENT, now_s=clocks.now_s())
-            assert (await machines[0].ask(path="/label/1")).end == "whole"
+            assert (await instances[0].ask(path="/label/1")).end == "whole"
             assert servers[0].arrived == []
 
     async def test_rejecting_server_is_not_retried(self):
         """After a back-off of zero, too, a call is sent to each server only once."""
         async with servers_and_instances(preferred_servers("/label/1")) as (
             servers,
-            machines,
+            instances,
         ):
             for server in servers:
                 server.retry_after = "0"
-            error = await machines[0].ask(path="/label/1")
+            error = await instances[0].ask(path="/label/1")
             assert error.ran == "no"
             assert [len(server.arrived) for server in servers] == [1, 1]
 
@@ -304,14 +304,14 @@
         advisory = ServerSignals(status=429, backoff_s=1.0)
         async with servers_and_instances(preferred_servers("/label/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            routing = machines[0].router.routing
+            routing = instances[0].router.routing
             routing.flow_control.record_signals(servers[0].listed, advisory, "c0")
-            await machines[0].ask(path="/label/1")
+            await instances[0].ask(path="/label/1")
             assert [len(server.arrived) for server in servers] == [0, 1]
             routing.flow_control.record_signals(servers[1].listed, BACKOFF, "c0")
-            await machines[0].ask(path="/label/1")
+            await instances[0].ask(path="/label/1")
             assert [len(server.arrived) for server in servers] == [1, 1]
 
     async def test_retry_of_a_rejected_send_is_refunded(self):
@@ -508,10 +508,10 @@
 HIGH_LIMIT = ServerSignals(status=200, limit_per_s=50.0)
 
 
-def receive(machine, server, signals, request_id="c0"):
+def receive(instance, server, signals, request_id="c0"):
     """Make an instance receive a server's signals in response to a new request."""
     now_s = clocks.now_s()
-    machine.router.routing.flow_control.record_signals(
+    instance.router.routing.flow_control.record_signals(
         server.listed, signals._replace(sent_s=now_s), request_id
     )
 
@@ -522,10 +522,10 @@
         """Nothing is written without one, and the caller gets the rejection."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            receive(machines[0], servers[0], LIMITED)
-            assert await is_rejected(machines[0].client, servers[0].listed, kind)
+            receive(instances[0], servers[0], LIMITED)
+            assert await is_rejected(instances[0].client, servers[0].listed, kind)
             assert servers[0].arrived == []
 
     @pytest.mark.parametrize("kind", SEND_KINDS)
@@ -533,16 +533,16 @@
         """Every send counts towards the shared limit."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             servers[0].limit_a_s = "50"
-            receive(machines[0], servers[0], HIGH_LIMIT)
-            await is_rejected(machines[0].client, servers[0].listed, "report")
-            flow_control = machines[0].router.routing.flow_control
+            receive(instances[0], servers[0], HIGH_LIMIT)
+            await is_rejected(instances[0].client, servers[0].listed, "report")
+            flow_control = instances[0].router.routing.flow_control
             await asyncio.sleep(1.0)
             flow_control.limits.permits.discard("s1")
             before = len(servers[0].arrived)
-            assert not await is_rejected(machines[0].client, servers[0].listed, kind)
+            assert not await is_rejected(instances[0].client, servers[0].listed, kind)
             arrived = len(servers[0].arrived) - before
             (state,) = flow_control.limits.state().values()
             assert state.sent == arrived
@@ -552,31 +552,31 @@
         """A send with an expired permit is not written."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            flow_control = machines[0].router.routing.flow_control
-            receive(machines[0], servers[0], HIGH_LIMIT)
+            flow_control = instances[0].router.routing.flow_control
+            receive(instances[0], servers[0], HIGH_LIMIT)
             expired = Permit(clocks.now_s() - 0.01)
             with pytest.raises(KeptBackError):
                 flow_control.check_send(servers[0].listed, SendKind.CALL, "c1", expired)
-            slow_connects(machines[0].kept, lambda _address: 0.3)
+            slow_connects(instances[0].kept, lambda _address: 0.3)
             flow_control.limits.permits.add("s1", Permit(clocks.now_s() + 0.1))
             with pytest.raises(KeptBackError):
-                await machines[0].client.send(send_to(servers[0].listed))
+                await instances[0].client.send(send_to(servers[0].listed))
             assert servers[0].arrived == []
 
     async def test_limit_is_received_during_connect(self):
         """A send that was scheduled without a permit is not written."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            slow_connects(machines[0].kept, lambda _address: 0.2)
+            slow_connects(instances[0].kept, lambda _address: 0.2)
             send_task = asyncio.create_task(
-                machines[0].client.send(send_to(servers[0].listed))
+                instances[0].client.send(send_to(servers[0].listed))
             )
             await asyncio.sleep(0.05)
-            receive(machines[0], servers[0], LIMITED)
+            receive(instances[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
                 await send_task
             assert servers[0].arrived == []
@@ -585,10 +585,10 @@
         """The next send uses it, until it expires."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            flow_control = machines[0].router.routing.flow_control
-            receive(machines[0], servers[0], LIMITED)
+            flow_control = instances[0].router.routing.flow_control
+            receive(instances[0], servers[0], LIMITED)
             permit = Permit(clocks.now_s() + 5.0)
             flow_control.release_permit(servers[0].listed, permit, was_written=False)
             assert (
@@ -602,10 +602,10 @@
         """The permit would be wasted."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            flow_control = machines[0].router.routing.flow_control
-            receive(machines[0], servers[0], LIMITED)
+            flow_control = instances[0].router.routing.flow_control
+            receive(instances[0], servers[0], LIMITED)
             flow_control.record_signals(servers[0].listed, BACKOFF, "c0")
             with pytest.raises(KeptBackError) as caught:
                 await flow_control.admit(servers[0].listed, SendKind.CALL, "c1")
@@ -617,13 +617,13 @@
         """The error is immediate: not run, with a retry time; the limits are logged."""
         async with servers_and_instances(preferred_servers(path)) as (
             servers,
-            machines,
+            instances,
         ):
             for number, server in enumerate(servers):
-                receive(machines[0], server, LIMITED, f"c{number}")
+                receive(instances[0], server, LIMITED, f"c{number}")
             async with measure_loop_lag() as lag:
                 started_s = clocks.now_s()
-                error = await machines[0].ask(path=path)
+                error = await instances[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
             assert took_s < 0.1 + lag.most_s
             assert (error.code, error.ran) == (OverloadedError.code, "no")
@@ -640,10 +640,10 @@
         """It may use a path that is blocked for less urgent ones."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            routing = machines[0].router.routing
-            receive(machines[0], servers[0], LIMITED)
+            routing = instances[0].router.routing
+            receive(instances[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
                 await routing.flow_control.admit(
                     servers[0].listed, SendKind.CALL, "c1", priority=2
@@ -662,13 +662,13 @@
         """A send that is known to be rejected uses no retry budget."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            routing = machines[0].router.routing
+            routing = instances[0].router.routing
             for server in servers[:-1]:
-                receive(machines[0], server, LIMITED)
+                receive(instances[0], server, LIMITED)
             before = routing.retries.budget("model").own.balance
-            responses = [await machines[0].ask() for _ in range(5)]
+            responses = [await instances[0].ask() for _ in range(5)]
             assert all(response.end == "whole" for response in responses)
             assert routing.retries.budget("model").own.balance >= before
 
@@ -676,46 +676,48 @@
         """A response without a limit lifts it; traffic resumes after a delay."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            flow_control = machines[0].router.routing.flow_control
-            receive(machines[0], servers[0], LIMITED)
-            assert await is_rejected(machines[0].client, servers[0].listed, "call")
+            flow_control = instances[0].router.routing.flow_control
+            receive(instances[0], servers[0], LIMITED)
+            assert await is_rejected(instances[0].client, servers[0].listed, "call")
             await asyncio.sleep(0.01)
             receive(
-                machines[0], servers[0], ServerSignals(status=200, limit_per_s=math.inf)
+                instances[0],
+                servers[0],
+                ServerSignals(status=200, limit_per_s=math.inf),
             )
             now_s = clocks.now_s()
             assert "s1" not in flow_control.blocked_s(now_s=now_s)
             assert flow_control.avoided(now_s=now_s) == {"s1"}
             assert flow_control.avoided(now_s=now_s + 1.0) == set()
-            assert not await is_rejected(machines[0].client, servers[0].listed, "call")
+            assert not await is_rejected(instances[0].client, servers[0].listed, "call")
 
     async def test_new_start_has_no_limit(self):
         """A limit applies to one start, like a back-off."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
             server = servers[0].listed._replace(started_ms=5)
-            machines[0].list({server.id: server})
+            instances[0].list({server.id: server})
             servers[0].listed = server
-            receive(machines[0], servers[0], LIMITED._replace(sent_ms=6))
-            assert await is_rejected(machines[0].client, server, "call")
-            machines[0].list({server.id: None})
-            machines[0].list({server.id: server})
-            assert await is_rejected(machines[0].client, server, "call")
-            machines[0].list({server.id: server._replace(started_ms=9)})
-            assert not await is_rejected(machines[0].client, server, "call")
+            receive(instances[0], servers[0], LIMITED._replace(sent_ms=6))
+            assert await is_rejected(instances[0].client, server, "call")
+            instances[0].list({server.id: None})
+            instances[0].list({server.id: server})
+            assert await is_rejected(instances[0].client, server, "call")
+            instances[0].list({server.id: server._replace(started_ms=9)})
+            assert not await is_rejected(instances[0].client, server, "call")
 
     async def test_limit_with_a_backoff(self):
         """Both signals of one response apply."""
         async with servers_and_instances(preferred_servers("/draft/1")) as (
             servers,
-            machines,
+            instances,
         ):
-            flow_control = machines[0].router.routing.flow_control
-            receive(machines[0], servers[0], BACKOFF._replace(limit_per_s=2.4))
+            flow_control = instances[0].router.routing.flow_control
+            receive(instances[0], servers[0], BACKOFF._replace(limit_per_s=2.4))
             assert set(flow_control.active_backoffs(now_s=clocks.now_s())) == {"s1"}
             assert flow_control.limits.active_limit("s1").per_s == 2.4
 
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -28,7 +28,7 @@
 
 
 DURATION_S = 4.0
-MACHINES = 2
+INSTANCES = 2
 RETRY_AFTER_VALUES = ("0.3", "1", "1.5", "0", "2, 1", "soon", "-1")
 BACKOFFS_S = {"0.3": 0.3, "1": 1.0, "1.5": 1.5, "2, 1": 2.0}
 
@@ -45,13 +45,13 @@
 
     Args:
         server: The server.
-        machines: The instances that have it in their lists.
+        instances: The instances that have it in their lists.
         rng: Source of random choices.
     """
 
-    def __init__(self, server, machines, rng):
+    def __init__(self, server, instances, rng):
         self.server = server
-        self.machines = machines
+        self.instances = instances
         self.rng = rng
 
     async def run(self, end_s):
@@ -72,10 +72,10 @@
         """Restart the server under its id, without its earlier signals."""
         self.server.start_again(int(clocks.wall_s() * 1000))
         entry = {self.server.listed.id: self.server.listed}
-        for machine in self.machines:
+        for instance in self.instances:
             # The list update reaches each instance after a delay.
             delay_s = self.rng.uniform(0.0, LIST_LAG_S)
-            asyncio.get_running_loop().call_later(delay_s, machine.list, entry)
+            asyncio.get_running_loop().call_later(delay_s, instance.list, entry)
 
 
 async def reject_all(servers, rng, end_s):
@@ -95,10 +95,10 @@
 
     Args:
         monkeypatch: Installs the recording.
-        machines: The instances.
+        instances: The instances.
     """
 
-    def __init__(self, monkeypatch, machines):
+    def __init__(self, monkeypatch, instances):
         self.received_backoffs = []
         self.writes = []
         write = CheckedRequest.send
@@ -113,12 +113,12 @@
             return answer
 
         monkeypatch.setattr(CheckedRequest, "send", recorded_send)
-        for machine in machines:
-            self.attach(machine)
+        for instance in instances:
+            self.attach(instance)
 
-    def attach(self, machine):
-        """Record the signals that a machine receives."""
-        flow_control = machine.client.gate
+    def attach(self, instance):
+        """Record the signals that an instance receives."""
+        flow_control = instance.client.gate
         original = flow_control.record_signals
 
         def record_signals(server, signals, request_id):
@@ -179,12 +179,12 @@
 
 
 def backoff_violations(server, lag_s):
-    """Return arrivals at a server within the back-off that it sent to the machine."""
+    """Return arrivals at a server within the back-off that it sent to the instance."""
     return [
-        (machine, round(arrived_s - sent_s, 3), value)
-        for machine, sent_s, value, started_ms in server.words
+        (instance, round(arrived_s - sent_s, 3), value)
+        for instance, sent_s, value, started_ms in server.words
         for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
-        if arrived_id.startswith(machine)
+        if arrived_id.startswith(instance)
         and arrived_ms == started_ms
         and sent_s + IN_FLIGHT_S + lag_s
         <= arrived_s
@@ -193,12 +193,12 @@
 
 
 def late_arrivals(server, lag_s):
-    """Return arrivals at a start that had reported its shutdown to the machine."""
+    """Return arrivals at a start that had reported its shutdown to the instance."""
     return [
-        (machine, round(arrived_s - sent_s, 3))
-        for machine, sent_s, started_ms in server.departures
+        (instance, round(arrived_s - sent_s, 3))
+        for instance, sent_s, started_ms in server.departures
         for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
-        if arrived_id.startswith(machine)
+        if arrived_id.startswith(instance)
         and arrived_ms == started_ms
         and arrived_s >= sent_s + LEAVING_S + lag_s
     ]
@@ -224,27 +224,27 @@
         *(plain_server(f"p{n}", started_ms=1) for n in range(2)),
     ]
     async with (
-        servers_and_instances(listed, machines=MACHINES, seed=seed) as (
+        servers_and_instances(listed, machines=INSTANCES, seed=seed) as (
             servers,
-            machines,
+            instances,
         ),
         measure_loop_lag() as lag,
     ):
-        recorder = Recorder(monkeypatch, machines)
+        recorder = Recorder(monkeypatch, instances)
         end_s = clocks.now_s() + DURATION_S
         for server in servers:
             server.work_s = lambda: rng.uniform(0.0, WORK_S)
-        for machine in machines:
-            for session in (machine.kept, machine.fresh):
+        for instance in instances:
+            for session in (instance.kept, instance.fresh):
                 slow_connects(session, lambda _address: connect_s(rng))
-        changers = [SignalChanges(server, machines, rng) for server in servers]
+        changers = [SignalChanges(server, instances, rng) for server in servers]
         running = [changer.run(end_s) for changer in changers]
         running += [
             reject_all(group, rng, end_s) for group in (servers[:3], servers[3:])
         ]
         load = [
-            machine.send_repeatedly(every_s=0.02, for_s=DURATION_S, path=path)
-            for machine in machines
+            instance.send_repeatedly(every_s=0.02, for_s=DURATION_S, path=path)
+            for instance in instances
             for path in ("/draft/1", "/label/1")
         ]
         *outcomes, _ = await asyncio.gather(*load, asyncio.gather(*running))
@@ -263,7 +263,7 @@
 
 #: Duration of the test of limits, in seconds, and its number of instances.
 LIMITS_DURATION_S = 9.0
-LIMIT_MACHINES = 4
+LIMIT_INSTANCES = 4
 #: Header values of servers: limits, none, and an invalid one.
 LIMIT_VALUES = ("0.5", "2.4", "4.9", "12", None, "some", "0")
 #: Duration of a limit, in seconds: shorter and longer than a window.
@@ -344,23 +344,23 @@
         *(plain_server(f"p{n}") for n in range(2)),
     ]
     async with (
-        servers_and_instances(listed, machines=LIMIT_MACHINES, seed=seed) as (
+        servers_and_instances(listed, machines=LIMIT_INSTANCES, seed=seed) as (
             servers,
-            machines,
+            instances,
         ),
         measure_loop_lag() as lag,
     ):
-        join_instances(machines, seed=seed).lost_part = LOST_FRACTION
+        join_instances(instances, seed=seed).lost_part = LOST_FRACTION
         end_s = clocks.now_s() + LIMITS_DURATION_S
-        for machine in machines:
-            for session in (machine.kept, machine.fresh):
+        for instance in instances:
+            for session in (instance.kept, instance.fresh):
                 slow_connects(
                     session, lambda _address: connect_s(rng, max_s=LIMIT_CONNECT_S)
                 )
         changers = [LimitChanges(server, rng) for server in servers]
         load = [
-            machine.send_repeatedly(every_s=0.05, for_s=LIMITS_DURATION_S, path=path)
-            for machine in machines
+            instance.send_repeatedly(every_s=0.05, for_s=LIMITS_DURATION_S, path=path)
+            for instance in instances
             for path in ("/draft/1", "/label/1")
         ]
         changing = asyncio.gather(*(changer.run(end_s) for changer in changers))
