--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -89,7 +89,7 @@
         """Return the slow runners that are due for a probe."""
         routing = self._routing
         server_ids = routing.paces.due_for_probe(
-            instances=routing.instances(), rng=self._rng, now_s=clocks.now_s()
+            instances=routing.instance_count(), rng=self._rng, now_s=clocks.now_s()
         )
         return self._listed_runners(server_ids)
 
@@ -107,7 +107,7 @@
         """Return whether a runner in cooldown is due for a probe."""
         probed_at_s = self._probed_at_s.setdefault(server_id, now_s)
         interval_s = _PROBE_INTERVAL_S * max(
-            1.0, self._routing.instances() / _UNSCALED_INSTANCES
+            1.0, self._routing.instance_count() / _UNSCALED_INSTANCES
         )
         is_expiring = (
             remaining_s < _PROBE_LEAD_S and now_s - probed_at_s > _PROBE_LEAD_S
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -36,14 +36,14 @@
         client.reports["a"] = report()
         routing = make_routing(client, A, B, rng=random.Random(1))
         for server in (A, B):
-            routing.note_trouble(server, ServerFault.SILENT, "r", "dead")
+            routing.record_fault(server, ServerFault.SILENT, "r", "dead")
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert in_cooldown(routing) == {"b"}
 
     async def test_cooldown_of_a_silent_runner_is_extended(self):
         """No request is used to detect that it is still unresponsive."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+        routing.record_fault(A, ServerFault.SILENT, "r", "dead")
         routing.health.extend_cooldown("a", now_s=clocks.now_s() - 2.0)
         expires_in_s = routing.settings.bounds.stall_s - 0.01
         watch = HealthCheckLoop(routing, rng=random.Random(1))
@@ -55,7 +55,7 @@
     async def test_cooldown_is_bounded(self):
         """A runner that recovers is used again within the engines' own stall limit."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+        routing.record_fault(A, ServerFault.SILENT, "r", "dead")
         for _ in range(9):
             await HealthCheckLoop(routing, rng=random.Random(1)).check()
         max_s = routing.settings.bounds.stall_s + 0.1
@@ -69,14 +69,14 @@
         client = FakeClient()
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
-        routing.note_trouble(A, trouble, "r", "")
+        routing.record_fault(A, trouble, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert in_cooldown(routing) == {"a"}
 
     async def test_plain_servers_are_not_probed(self):
         """They provide no reports."""
         routing = make_routing(FakeClient(), plain_server("p"), rng=random.Random(1))
-        routing.note_trouble(plain_server("p"), ServerFault.SILENT, "r", "")
+        routing.record_fault(plain_server("p"), ServerFault.SILENT, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).check()
         assert in_cooldown(routing, in_s=routing.settings.bounds.stall_s) == set()
 
@@ -92,8 +92,8 @@
         for instances, max_probes in ((1, 10), (80, 1)):
             probed.clear()
             routing = make_routing(ProbedClient(), A, rng=random.Random(1))
-            routing.instances = lambda count=instances: count
-            routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+            routing.instance_count = lambda count=instances: count
+            routing.record_fault(A, ServerFault.SILENT, "r", "dead")
             watch = HealthCheckLoop(routing, rng=random.Random(1))
             for _ in range(6):
                 await watch.check()
@@ -120,7 +120,7 @@
             HealthCheckLoop(routing, rng=random.Random(1)).run()
         )
         for _ in range(2):
-            routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+            routing.record_fault(A, ServerFault.SILENT, "r", "dead")
             async with asyncio.timeout(5):
                 while in_cooldown(routing):
                     await asyncio.sleep(0.01)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -18,7 +18,7 @@
     events,
     make_call,
     make_routing,
-    refused,
+    refused_answer,
     report,
 )
 from routing_samples import runner
@@ -318,7 +318,7 @@
         """Only sends that reach a server use the retry budget."""
         a, b = runner("a", 0, 80, kind="large"), runner("b", 0, 80)
         client = FakeClient(
-            refused(), KeptBackError("rest", 1.0), FakeAnswer(events(1))
+            refused_answer(), KeptBackError("rest", 1.0), FakeAnswer(events(1))
         )
         routing = make_routing(client, a, b, rng=random.Random(1), retry_reserve="5")
         before = routing.retries.budget("model").own.balance
@@ -351,7 +351,7 @@
         )
         routing.flow_control.record_signals(head, BACKOFF, "c0")
         refusal = Refusal(tail.address, False, BACKOFF)
-        routing.note_refusal("tail", refusal, "c0", is_told_by_other=True)
+        routing.record_refusal("tail", refusal, "c0", is_told_by_other=True)
         assert set(routing.flow_control.blocked_s(now_s=clocks.now_s())) == {
             "head",
             "tail",
@@ -464,9 +464,9 @@
         """The requested back-off applies if it exceeds the default cooldown."""
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
-        routing.note_refusal("a", Refusal(None, False), "c1")
+        routing.record_refusal("a", Refusal(None, False), "c1")
         routing.flow_control.record_signals(a, BACKOFF, "c2")
-        routing.note_refusal("a", Refusal(None, False, BACKOFF), "c2")
+        routing.record_refusal("a", Refusal(None, False, BACKOFF), "c2")
         first, second = fields_of(log_lines, log_events.SERVER_REFUSED)
         assert (first["rest_s"], first["rested_s"]) == (0.3, 0.0)
         assert second["rest_s"] == pytest.approx(30.0, abs=0.1)
