--- a/tests/test_work_in_hand.py
+++ b/tests/test_work_in_hand.py
@@ -54,7 +54,7 @@
         """Ids and deadlines are new each time a caller comes back."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         noted(routing, "a", "b", "c")
-        assert work_in_hand(routing, id="other", wait_s=1.0).is_held
+        assert work_in_hand(routing, id="other", timeout_s=1.0).is_held
         assert not work_in_hand(routing, body=b"other").is_held
 
     def test_lines_tell_nothing_of_the_body(self, capsys):
