--- a/tests/test_servers_that_ask_for_rest.py
+++ b/tests/test_servers_that_ask_for_rest.py
@@ -32,7 +32,7 @@
 async def test_backoff_is_followed(path):
     """No request reaches the server until its back-off expires; others serve them."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=2) as (
+        servers_and_instances(preferred_servers(path), instance_count=2) as (
             servers,
             instances,
         ),
@@ -50,7 +50,7 @@
         assert servers[0].first_signal_s is not None
         for instance in instances:
             repeated = servers[0].arrivals(
-                after_s=IN_FLIGHT_S + lag.most_s,
+                after_s=IN_FLIGHT_S + lag.max_s,
                 until_s=BACKOFF_S,
                 machine=instance.name,
             )
@@ -77,7 +77,7 @@
             slow_connects(session, delay_s)
         outcomes = await asyncio.gather(*(instance.ask(path=path) for _ in range(13)))
         repeated = servers[0].arrivals(
-            after_s=IN_FLIGHT_S + lag.most_s, until_s=BACKOFF_S
+            after_s=IN_FLIGHT_S + lag.max_s, until_s=BACKOFF_S
         )
         assert repeated == []
         assert all(response.end == "whole" for response in outcomes)
--- a/tests/test_servers_that_leave.py
+++ b/tests/test_servers_that_leave.py
@@ -25,7 +25,7 @@
 async def test_leaving_server_gets_no_requests(path, is_rejecting):
     """No request is sent after the first such response, whatever the list says."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=2) as (
+        servers_and_instances(preferred_servers(path), instance_count=2) as (
             servers,
             instances,
         ),
@@ -39,7 +39,7 @@
                 for instance in instances
             )
         )
-        after_s = LEAVING_S + lag.most_s
+        after_s = LEAVING_S + lag.max_s
         assert servers[0].arrivals(after_s=after_s, until_s=9.0) == []
         assert all(
             response.end == "whole" for responses in outcomes for response in responses
--- a/tests/test_servers_that_name_a_limit.py
+++ b/tests/test_servers_that_name_a_limit.py
@@ -39,7 +39,7 @@
 async def test_total_stays_within_the_limit(path, count):
     """All instances together stay within the limit; other servers serve the rest."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=count) as (
+        servers_and_instances(preferred_servers(path), instance_count=count) as (
             servers,
             instances,
         ),
@@ -47,7 +47,7 @@
     ):
         join_instances(instances)
         await instances[0].ask(path=path)
-        (limited,) = (server for server in servers if server.ran)
+        (limited,) = (server for server in servers if server.accepted)
         limited.limit_a_s = str(LIMIT_PER_S)
         outcomes = await asyncio.gather(
             *(
@@ -60,7 +60,7 @@
         arrivals_s = limited.arrival_times(
             after_s=NOTIFIED_WITHIN_S, until_s=DURATION_S
         )
-        max_arrivals = max_within(arrivals_s, WINDOW_S - lag.most_s)
+        max_arrivals = max_within(arrivals_s, WINDOW_S - lag.max_s)
         assert max_arrivals <= int(WINDOW_S * LIMIT_PER_S)
         assert all(
             response.end == "whole" for responses in outcomes for response in responses
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -70,7 +70,7 @@
 
     def restart(self):
         """Restart the server under its id, without its earlier signals."""
-        self.server.start_again(int(clocks.wall_s() * 1000))
+        self.server.restart(int(clocks.wall_s() * 1000))
         entry = {self.server.listed.id: self.server.listed}
         for instance in self.instances:
             # The list update reaches each instance after a delay.
@@ -182,7 +182,7 @@
     """Return arrivals at a server within the back-off that it sent to the instance."""
     return [
         (instance, round(arrived_s - sent_s, 3), value)
-        for instance, sent_s, value, started_ms in server.words
+        for instance, sent_s, value, started_ms in server.backoff_requests
         for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
         if arrived_id.startswith(instance)
         and arrived_ms == started_ms
@@ -196,7 +196,7 @@
     """Return arrivals at a start that had reported its shutdown to the instance."""
     return [
         (instance, round(arrived_s - sent_s, 3))
-        for instance, sent_s, started_ms in server.departures
+        for instance, sent_s, started_ms in server.shutdown_reports
         for arrived_id, arrived_s, arrived_ms in server.arrivals_by_start
         if arrived_id.startswith(instance)
         and arrived_ms == started_ms
@@ -224,7 +224,7 @@
         *(plain_server(f"p{n}", started_ms=1) for n in range(2)),
     ]
     async with (
-        servers_and_instances(listed, machines=INSTANCES, seed=seed) as (
+        servers_and_instances(listed, instance_count=INSTANCES, seed=seed) as (
             servers,
             instances,
         ),
@@ -250,15 +250,15 @@
         *outcomes, _ = await asyncio.gather(*load, asyncio.gather(*running))
     assert recorder.violations(servers) == []
     none = [[]] * len(servers)
-    assert [backoff_violations(server, lag.most_s) for server in servers] == none
-    assert [late_arrivals(server, lag.most_s) for server in servers] == none
+    assert [backoff_violations(server, lag.max_s) for server in servers] == none
+    assert [late_arrivals(server, lag.max_s) for server in servers] == none
     rejected = [
         outcome for group in outcomes for outcome in group if is_refusal(outcome)
     ]
-    ran = {call_id for server in servers for call_id in server.ran}
+    ran = {call_id for server in servers for call_id in server.accepted}
     assert all(error.retry_after_s > 0 for error in rejected)
     assert {error.call_id for error in rejected}.isdisjoint(ran)
-    assert sum(len(server.words) for server in servers) > 0
+    assert sum(len(server.backoff_requests) for server in servers) > 0
 
 
 #: Duration of the test of limits, in seconds, and its number of instances.
@@ -344,7 +344,7 @@
         *(plain_server(f"p{n}") for n in range(2)),
     ]
     async with (
-        servers_and_instances(listed, machines=LIMIT_INSTANCES, seed=seed) as (
+        servers_and_instances(listed, instance_count=LIMIT_INSTANCES, seed=seed) as (
             servers,
             instances,
         ),
@@ -365,12 +365,12 @@
         ]
         changing = asyncio.gather(*(changer.run(end_s) for changer in changers))
         *outcomes, _ = await asyncio.gather(*load, changing)
-        violations = [changer.violations(lag.most_s) for changer in changers]
+        violations = [changer.violations(lag.max_s) for changer in changers]
     assert violations == [[]] * len(changers)
     rejected = [
         outcome for group in outcomes for outcome in group if is_refusal(outcome)
     ]
-    ran = {call_id for server in servers for call_id in server.ran}
+    ran = {call_id for server in servers for call_id in server.accepted}
     assert all(error.retry_after_s > 0 for error in rejected)
     assert {error.call_id for error in rejected}.isdisjoint(ran)
     others = [
@@ -378,5 +378,5 @@
     ]
     failed = [outcome for outcome in others if getattr(outcome, "end", "") != "whole"]
     # A stalled loop consumes the callers' deadlines and the streams' timeouts.
-    if lag.most_s < MAX_LOOP_DELAY_S:
+    if lag.max_s < MAX_LOOP_DELAY_S:
         assert [getattr(outcome, "detail", outcome) for outcome in failed] == []
