--- a/src/violethatch/_chains.py
+++ b/src/violethatch/_chains.py
@@ -87,7 +87,7 @@
     Args:
         hosts: The group.
         engine: The engine's figures.
-        known: Splits that were found before, for the same engine; it is added to.
+        split_cache: Splits that were found before, for the same engine; it is added to.
     """
     splits = {} if split_cache is None else split_cache
     best: list[Chain] = []
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -141,7 +141,7 @@
         flow_control: Who has asked for rest.
         paces: Who is slow.
         loads: How full runners are.
-        pipe: Which requests may cross between zones.
+        zone_link: Which requests may cross between zones.
         instances: Tells how many instances are known to serve; 0 where none is.
     """
 
--- a/src/violethatch/server_backoffs.py
+++ b/src/violethatch/server_backoffs.py
@@ -103,7 +103,7 @@
 
     started_ms: int
     sent_ms: int
-    asked_s: float
+    requested_s: float
     until_s: float
     resumes_at_s: float
     request_id: str
