--- a/src/violethatch/_flow_control.py
+++ b/src/violethatch/_flow_control.py
@@ -314,7 +314,7 @@
             {
                 "server_id": server_id,
                 "left_s": round(remaining_s, 3),
-                "asked_s": backoffs[server_id].asked_s,
+                "asked_s": backoffs[server_id].requested_s,
                 "said_to": backoffs[server_id].request_id,
             }
             for server_id, remaining_s in self.active_backoffs(
--- a/src/violethatch/server_backoffs.py
+++ b/src/violethatch/server_backoffs.py
@@ -92,7 +92,7 @@
     Attributes:
         started_ms: Time of the server's start that was listed; 0 if unknown.
         sent_ms: Wall-clock time when the rejected request was sent.
-        asked_s: Requested duration, in seconds.
+        requested_s: Requested duration, in seconds.
         until_s: Time until which nothing is sent.
         resumes_at_s: Time from which the server is no longer avoided.
         request_id: Id of the rejected call; empty if it was not a call.
