--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -88,7 +88,7 @@
     def _due_slow(self) -> list[BackendServer]:
         """Return the slow runners that are due for a probe."""
         routing = self._routing
-        server_ids = routing.paces.due_for_probe(
+        server_ids = routing.slow_runners.due_for_probe(
             instances=routing.instance_count(), rng=self._rng, now_s=clocks.now_s()
         )
         return self._listed_runners(server_ids)
