--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -326,7 +326,7 @@
             self._routing.path,
             self._service,
             avoided=self._avoided,
-            may_doubt=not self.sends and not self._live,
+            include_possibly_full=not self.sends and not self._live,
             priority=self._admitted.priority,
         )
         if self._live:
