--- a/src/violethatch/limits.py
+++ b/src/violethatch/limits.py
@@ -57,7 +57,7 @@
         self._refill(now_s)
         allowed = max(1, round(self.limits.concurrent * self.share))
         if self.in_flight >= allowed:
-            msg = f"{self.in_flight} requests in flight, {allowed} allowed on this instance"
+            msg = f"{self.in_flight} in flight, {allowed} allowed on this instance"
             raise RateLimitedError(msg, retry_after_s=1.0)
         if self._tokens < 1.0:
             wait_s = (1.0 - self._tokens) / self._rate()
