--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -351,7 +351,7 @@
         )
         routing.flow_control.record_signals(head, BACKOFF, "c0")
         refusal = Refusal(tail.address, False, BACKOFF)
-        routing.record_refusal("tail", refusal, "c0", is_told_by_other=True)
+        routing.record_refusal("tail", refusal, "c0", is_reported_by_peer=True)
         assert set(routing.flow_control.blocked_s(now_s=clocks.now_s())) == {
             "head",
             "tail",
@@ -370,7 +370,7 @@
         current = routing.path(service, avoided=frozenset({"spare", "other"}))
         routing.flow_control.record_signals(tail, BACKOFF, "c0")
         moved = routing.path(
-            service, avoided=frozenset({"lost"}), first=head, kept=current
+            service, avoided=frozenset({"lost"}), first=head, current_path=current
         )
         assert moved.server_ids == {"head", "spare", "tail"}
 
