--- a/bench/decision_costs.py
+++ b/bench/decision_costs.py
@@ -154,7 +154,7 @@
     decoder = WireDecoder()
 
     def lay_anew() -> None:
-        choice._shares.clear()
+        choice._assigned.clear()
         choice.path(spec)
 
     rows: list[tuple[str, Callable[[], Any]]] = [
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The choice of paths: the own zone first, shared out among its instances."""
+"""Path selection with preference for the local zone, shared among its instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
-from .local_paths import FULL, NearFirst
+from .local_paths import FULL_UTILIZATION, LocalFirstSearch
 from .membership import rendezvous
 from .path_shares import (
     SHARES_TTL_S,
@@ -33,98 +33,100 @@
 from .stream_loads import StreamLoads, fullness_added
 
 
-#: The part of its slots from which a first runner counts as having none left: what is
-#: known of it is up to a second old, in which a seventh of its streams begin anew.
-_NO_SLOT = 0.85
-#: Into how many parts moves are laid: each stream of an instance that has to move
-#: costs as many searches, and waits for them.
+#: Fraction of its slots from which a first runner counts as having none left.  Its load
+#: report is up to a second old, in which a seventh of its streams are replaced.
+_SLOTS_EXHAUSTED = 0.85
+#: Number of parts for moves.  Each move of an instance costs as many searches, and
+#: waits for them.
 _MOVE_PARTS = 4
-#: From how many first runners a path is searched for a request that may end one.
-_MOST_FIRSTS = 3
-#: To how many seconds rests are rounded up where the path is searched whose rests are
-#: over first, and for how long that counts: callers are told times that are spread by
-#: more, and it takes some searches, which all that are refused at once would ask for.
-_REST_STEP_S = 0.25
+#: Max number of first runners to try for a request that may crash one.
+_MAX_ISOLATED_FIRST_SERVERS = 3
+#: Cooldowns are rounded up to this step in the search for the earliest available path,
+#: whose result is cached for as long, in seconds.  The retry times of callers are
+#: spread by more, and each search would otherwise be repeated for every rejection.
+_COOLDOWN_STEP_S = 0.25
 
 
-def _rounded_up_s(left_s: float) -> float:
-    """Return a rest's time rounded up to a step."""
-    return math.ceil(left_s / _REST_STEP_S) * _REST_STEP_S
+def _rounded_up_s(remaining_s: float) -> float:
+    """Return the remaining time of a cooldown, rounded up to a step."""
+    return math.ceil(remaining_s / _COOLDOWN_STEP_S) * _COOLDOWN_STEP_S
 
 
-class _Maps(NamedTuple):
-    """Who holds which layers, by the list of one revision."""
+class _LayerMaps(NamedTuple):
+    """Layer maps of one revision of the server list."""
 
     revision: int
-    #: All runners.
-    whole: LayerMap
-    #: By zone, its runners.
-    zones: Mapping[str, LayerMap]
+    all_zones: LayerMap
+    by_zone: Mapping[str, LayerMap]
 
 
-class _Shares(NamedTuple):
-    """The parts of a service's streams, and when they were laid."""
+class _AssignedPaths(NamedTuple):
+    """The parts of a service's streams, and the time of their assignment."""
 
-    maps: _Maps
+    maps: _LayerMaps
     paths: Sequence[Path]
-    laid_s: float
+    assigned_s: float
 
-    def is_of(self, maps: _Maps, *, now_s: float) -> bool:
-        """Tell whether the parts are of these maps, and new enough."""
-        return self.maps is maps and now_s - self.laid_s < SHARES_TTL_S
+    def is_valid(self, maps: _LayerMaps, *, now_s: float) -> bool:
+        """Return whether the parts use these maps and have not expired."""
+        return self.maps is maps and now_s - self.assigned_s < SHARES_TTL_S
 
 
-class _View(NamedTuple):
-    """What a search leaves out, and what else it goes by."""
+class _SearchInput(NamedTuple):
+    """Constraints and state for a search."""
 
-    left_out: frozenset[str]
+    excluded: frozenset[str]
     #: The path that a request moves from, if it moves.
-    kept: Path | None
-    paces: Mapping[str, float]
-    pipe_fullness: float
+    current_path: Path | None
+    slowdowns: Mapping[str, float]
+    zone_link_utilization: float
 
 
-class _KnownRoom(NamedTuple):
-    """A service's room, and what it was worked out from."""
+class _CachedRoom(NamedTuple):
+    """A service's capacity, and the inputs that it was computed from."""
 
-    maps: _Maps
-    gone: frozenset[str]
-    paces: Mapping[str, float]
+    maps: _LayerMaps
+    unavailable: frozenset[str]
+    slowdowns: Mapping[str, float]
     targets: Targets
     room: Room
 
-    def is_of(
+    def is_valid(
         self,
-        maps: _Maps,
-        gone: frozenset[str],
-        paces: Mapping[str, float],
+        maps: _LayerMaps,
+        unavailable: frozenset[str],
+        slowdowns: Mapping[str, float],
         targets: Targets,
     ) -> bool:
-        """Tell whether nothing of that has changed."""
-        is_same = self.maps is maps and self.gone == gone
-        return is_same and self.paces == paces and self.targets == targets
+        """Return whether all inputs are unchanged."""
+        is_same = self.maps is maps and self.unavailable == unavailable
+        return is_same and self.slowdowns == slowdowns and self.targets == targets
 
 
-class _FreeFirst(NamedTuple):
-    """The path whose rests are over first, who rested then, and when that was."""
+class _EarliestPath(NamedTuple):
+    """The path whose cooldowns end first, and the servers in cooldown at that time."""
 
-    maps: _Maps
-    resting: frozenset[str]
+    maps: _LayerMaps
+    cooling_down: frozenset[str]
     path: Path | None
     found_s: float
 
-    def is_of(self, maps: _Maps, rests_s: Mapping[str, float], *, now_s: float) -> bool:
-        """Tell whether it counts: the same servers rest, by a list that stands."""
-        is_new = now_s - self.found_s < _REST_STEP_S
-        return is_new and self.maps is maps and self.resting == rests_s.keys()
+    def is_valid(
+        self, maps: _LayerMaps, cooldowns_s: Mapping[str, float], *, now_s: float
+    ) -> bool:
+        """Return whether maps and servers in cooldown are unchanged and recent."""
+        is_recent = now_s - self.found_s < _COOLDOWN_STEP_S
+        return (
+            is_recent and self.maps is maps and self.cooling_down == cooldowns_s.keys()
+        )
 
 
 class BlockedTime(NamedTuple):
-    """How long rests block the path that is free soonest, in seconds.
+    """Time until the earliest path is available again, in seconds.
 
     Attributes:
-        remaining_s: By what was seen and by what servers have asked for.
-        requested_s: By what servers have asked for alone.
+        remaining_s: By cooldowns, back-offs and limits.
+        requested_s: By back-offs and limits that servers requested only.
     """
 
     remaining_s: float
@@ -132,17 +134,17 @@
 
 
 class PathSelector:
-    """Chooses paths for one instance.
+    """Selects paths for one instance.
 
     Args:
         zone: The instance's availability zone.
         backends: The listed runners.
-        health: Who is left alone.
-        flow_control: Who has asked for rest.
-        paces: Who is slow.
-        loads: How full runners are.
-        pipe: Which requests may cross between zones.
-        instances: Tells how many instances are known to serve; 0 where none is.
+        health: Cooldowns of runners after failures.
+        flow_control: Back-offs and limits that runners requested.
+        paces: Slowdowns of runners.
+        loads: Utilization of runners.
+        pipe: Decides which requests may use the link between zones.
+        instances: Returns the number of known serving instances; 0 if none is known.
     """
 
     def __init__(
@@ -160,17 +162,17 @@
         self._zone = zone
         self._backends = backends
         self._health = health
-        self._gate = flow_control
+        self._flow_control = flow_control
         self._paces = paces
         self._loads = loads
         self._pipe = pipe
         self._instances = instances
-        self._unseen = UnreportedStreams()
-        self._maps: dict[str, _Maps] = {}
-        self._shares: dict[str, _Shares] = {}
-        self._free_first: dict[str, _FreeFirst] = {}
-        self._rooms: dict[str, _KnownRoom] = {}
-        #: Tells the own place among the zone's instances.
+        self._unreported = UnreportedStreams()
+        self._maps: dict[str, _LayerMaps] = {}
+        self._assigned: dict[str, _AssignedPaths] = {}
+        self._earliest_paths: dict[str, _EarliestPath] = {}
+        self._rooms: dict[str, _CachedRoom] = {}
+        #: Returns this instance's position among the instances of the zone.
         self.zone_position: Callable[[], ZonePosition] = lambda: SOLE_INSTANCE
 
     def path(
@@ -183,62 +185,71 @@
         include_possibly_full: bool = False,
         priority: int = 0,
     ) -> Path | None:
-        """Return the path to send along; see `Routing.path`."""
+        """Return the path for a request; see `Routing.path`."""
         if service.engine is None:
             return None
         now_s = clocks.now_s()
-        maps = self._maps_of(service, service.engine)
-        # What is under way at runners that rest stays there.
-        stays = current_path.server_ids if current_path is not None else frozenset()
-        steps = self._left_out(
+        maps = self._layer_maps(service, service.engine)
+        # A request in flight stays at its runners during their cooldown.
+        current_servers = (
+            current_path.server_ids if current_path is not None else frozenset()
+        )
+        steps = self._exclusion_steps(
             excluded,
-            stays=stays,
-            may_doubt=include_possibly_full,
+            current_servers=current_servers,
+            include_possibly_full=include_possibly_full,
             priority=priority,
             now_s=now_s,
         )
         if first_server is None:
-            full = self._full_firsts(maps.whole, now_s=now_s)
-            steps = list(dict.fromkeys([steps[0] | full, *steps]))
-        for left_out in steps:
-            view = self._view(left_out, current_path, now_s=now_s)
+            saturated = self._saturated_first_servers(maps.all_zones, now_s=now_s)
+            steps = list(dict.fromkeys([steps[0] | saturated, *steps]))
+        for step in steps:
+            search_input = self._search_input(step, current_path, now_s=now_s)
             if first_server is None:
-                path = self._shared_path(service.name, maps, view, now_s=now_s)
+                path = self._shared_path(service.name, maps, search_input, now_s=now_s)
             else:
-                path = self._path_after(first_server, maps, view, now_s=now_s)
+                path = self._path_from(first_server, maps, search_input, now_s=now_s)
             if path is not None:
-                return self._within_pipe(path, maps, view, first_server, now_s=now_s)
+                return self._limit_zone_hops(
+                    path, maps, search_input, first_server, now_s=now_s
+                )
         return None
 
     def isolated_path(
         self, service: ServiceSpec, *, excluded: frozenset[str], key: str
     ) -> Path | None:
-        """Return a path for a request under which a server has ended.
+        """Return a path for a request that may have crashed a server.
 
-        It begins at one of the emptier first runners, which the request's key chooses:
-        what it may end has few requests, and what was in its company is elsewhere.
+        It begins at one of the first runners with low utilization, selected by the
+        request's key: another crash affects few requests, and the requests that were
+        in flight with it before use other runners.
         """
         if service.engine is None:
             return None
         now_s = clocks.now_s()
-        left_out = (
+        step = (
             excluded
             | self._health.resting(now_s=now_s)
-            | self._gate.avoided(now_s=now_s)
+            | self._flow_control.avoided(now_s=now_s)
         )
         engine = service.engine
         firsts = [
-            one
-            for one in self._backends.usable(service.name)
-            if one.layers is not None
-            and one.layers.first == 0
-            and one.id not in left_out
+            server
+            for server in self._backends.usable(service.name)
+            if server.layers is not None
+            and server.layers.first == 0
+            and server.id not in step
         ]
-        firsts.sort(key=lambda one: self._loads.fullness(one, engine, now_s=now_s))
-        emptier = {one.id: one for one in firsts[: max(2, len(firsts) // 2)]}
-        for server_id in rendezvous(key, emptier, count=_MOST_FIRSTS):
+        firsts.sort(
+            key=lambda server: self._loads.fullness(server, engine, now_s=now_s)
+        )
+        candidates = {
+            server.id: server for server in firsts[: max(2, len(firsts) // 2)]
+        }
+        for server_id in rendezvous(key, candidates, count=_MAX_ISOLATED_FIRST_SERVERS):
             path = self.path(
-                service, excluded=excluded, first_server=emptier[server_id]
+                service, excluded=excluded, first_server=candidates[server_id]
             )
             if path is not None:
                 return path
@@ -247,41 +258,51 @@
     def blocked_time(
         self, service: ServiceSpec, *, priority: int = 0
     ) -> BlockedTime | None:
-        """Return how long rests and limits block all paths for a priority.
+        """Return the time for which all paths are blocked for a priority.
 
-        None where some layer has no holder, whether it rests or not.
+        None if a layer has no holder, with or without cooldown.
         """
         if service.engine is None:
             return None
-        maps = self._maps_of(service, service.engine)
+        maps = self._layer_maps(service, service.engine)
         now_s = clocks.now_s()
-        asked_s = self._gate.blocked_s(priority=priority, now_s=now_s)
-        rests_s = self._health.rests_s(now_s=now_s)
-        for server_id, left_s in asked_s.items():
-            rests_s[server_id] = max(left_s, rests_s.get(server_id, 0.0))
-        known = self._free_first.get(service.name)
-        if known is None or not known.is_of(maps, rests_s, now_s=now_s):
-            path = self._first_free(maps.whole, rests_s)
-            known = _FreeFirst(maps, frozenset(rests_s), path, now_s)
-            self._free_first[service.name] = known
-        if known.path is None:
+        requested_s = self._flow_control.blocked_s(priority=priority, now_s=now_s)
+        cooldowns_s = self._health.rests_s(now_s=now_s)
+        for server_id, remaining_s in requested_s.items():
+            cooldowns_s[server_id] = max(remaining_s, cooldowns_s.get(server_id, 0.0))
+        cached = self._earliest_paths.get(service.name)
+        if cached is None or not cached.is_valid(maps, cooldowns_s, now_s=now_s):
+            path = self._find_earliest_path(maps.all_zones, cooldowns_s)
+            cached = _EarliestPath(maps, frozenset(cooldowns_s), path, now_s)
+            self._earliest_paths[service.name] = cached
+        if cached.path is None:
             return None
         return BlockedTime(
-            max(rests_s.get(one, 0.0) for one in known.path.server_ids),
-            max(asked_s.get(one, 0.0) for one in known.path.server_ids),
+            max(
+                cooldowns_s.get(server_id, 0.0) for server_id in cached.path.server_ids
+            ),
+            max(
+                requested_s.get(server_id, 0.0) for server_id in cached.path.server_ids
+            ),
         )
 
-    def _first_free(
-        self, layer_map: LayerMap, rests_s: Mapping[str, float]
+    def _find_earliest_path(
+        self, layer_map: LayerMap, cooldowns_s: Mapping[str, float]
     ) -> Path | None:
-        """Return the path whose rests are over first, or None if there is no path."""
-        ends_s = sorted({_rounded_up_s(left_s) for left_s in rests_s.values()} | {0.0})
+        """Return the path whose cooldowns end first, or None without a path."""
+        ends_s = sorted(
+            {_rounded_up_s(remaining_s) for remaining_s in cooldowns_s.values()} | {0.0}
+        )
         earliest, latest = 0, len(ends_s) - 1
         found = layer_map.find(zone=self._zone)
         while found is not None and earliest < latest:
             middle = (earliest + latest) // 2
-            left_out = {one for one, s in rests_s.items() if s > ends_s[middle]}
-            path = layer_map.find(zone=self._zone, excluded=left_out)
+            excluded = {
+                server_id
+                for server_id, remaining_s in cooldowns_s.items()
+                if remaining_s > ends_s[middle]
+            }
+            path = layer_map.find(zone=self._zone, excluded=excluded)
             if path is None:
                 earliest = middle + 1
             else:
@@ -289,230 +310,277 @@
         return found
 
     def room(self, service: ServiceSpec, targets: Targets) -> Room:
-        """Return what the runners that are there can take; full ones count.
+        """Return the capacity of the available runners, including full ones.
 
         Args:
             service: A service with an engine.
-            targets: What its callers wait for.
+            targets: The latency targets of its callers.
         """
         assert service.engine is not None
         now_s = clocks.now_s()
-        maps = self._maps_of(service, service.engine)
-        gone = self._health.shunned(now_s=now_s)
-        paces = self._paces.slow(now_s=now_s)
-        known = self._rooms.get(service.name)
-        if known is None or not known.is_of(maps, gone, paces, targets):
-            found = room(maps.whole, left_out=gone, paces=paces, targets=targets)
-            known = _KnownRoom(maps, gone, paces, targets, found)
-            self._rooms[service.name] = known
-        return known.room
+        maps = self._layer_maps(service, service.engine)
+        unavailable = self._health.shunned(now_s=now_s)
+        slowdowns = self._paces.slow(now_s=now_s)
+        cached = self._rooms.get(service.name)
+        if cached is None or not cached.is_valid(maps, unavailable, slowdowns, targets):
+            computed = room(
+                maps.all_zones, left_out=unavailable, paces=slowdowns, targets=targets
+            )
+            cached = _CachedRoom(maps, unavailable, slowdowns, targets, computed)
+            self._rooms[service.name] = cached
+        return cached.room
 
     def running(self, service: ServiceSpec) -> int:
-        """Return the streams of all instances at the runners that are there."""
+        """Return the streams of all instances at the available runners."""
         assert service.engine is not None
         now_s = clocks.now_s()
-        gone = self._health.shunned(now_s=now_s)
+        unavailable = self._health.shunned(now_s=now_s)
         return sum(
-            self._loads.totals_at(one.id, now_s=now_s).streams
-            for one in self._maps_of(service, service.engine).whole.first_servers
-            if one.id not in gone
+            self._loads.totals_at(server.id, now_s=now_s).streams
+            for server in self._layer_maps(
+                service, service.engine
+            ).all_zones.first_servers
+            if server.id not in unavailable
         )
 
     def fullness_of_first(self, service: ServiceSpec, path: Path) -> float:
-        """Return the part of a path's first runner that is taken."""
+        """Return the utilization of a path's first runner."""
         assert service.engine is not None
         return self._loads.fullness(path.first, service.engine, now_s=clocks.now_s())
 
     def record_stream_start(self) -> None:
-        """Count a stream that this instance begins."""
-        self._unseen.record_start(now_s=clocks.now_s())
+        """Record a stream that this instance starts."""
+        self._unreported.record_start(now_s=clocks.now_s())
 
-    def _left_out(
+    def _exclusion_steps(
         self,
-        avoided: frozenset[str],
+        excluded: frozenset[str],
         *,
-        stays: frozenset[str],
-        may_doubt: bool,
+        current_servers: frozenset[str],
+        include_possibly_full: bool,
         priority: int,
         now_s: float,
     ) -> list[frozenset[str]]:
-        """Return whom to leave out, and whom if that leaves no path.
+        """Return the sets of runners to exclude, from the strictest to the weakest.
+
+        Each set is used only if no path exists with the one before.
 
         Args:
-            avoided: Runners to leave alone in any case.
-            stays: Runners that the request is on already.
-            may_doubt: Whether runners that may only be full are used.
-            priority: The request's.
+            excluded: Runners to exclude in any case.
+            current_servers: Runners that serve the request already.
+            include_possibly_full: Whether runners that may only be full are used.
+            priority: The request's priority.
             now_s: The current monotonic time, in seconds.
         """
-        closed = self._gate.blocked_s(priority=priority, now_s=now_s).keys()
-        bound = avoided | (closed - stays)
-        resting = self._health.resting(now_s=now_s) | bound
-        wished = self._gate.avoided(now_s=now_s) - stays
-        steps = [resting | wished, resting]
-        if may_doubt:
-            steps.append(self._health.shunned(now_s=now_s) | bound)
+        limited = self._flow_control.blocked_s(priority=priority, now_s=now_s).keys()
+        required = excluded | (limited - current_servers)
+        cooling_down = self._health.resting(now_s=now_s) | required
+        optional = self._flow_control.avoided(now_s=now_s) - current_servers
+        steps = [cooling_down | optional, cooling_down]
+        if include_possibly_full:
+            steps.append(self._health.shunned(now_s=now_s) | required)
         return list(dict.fromkeys(steps))
 
-    def _full_firsts(self, layer_map: LayerMap, *, now_s: float) -> frozenset[str]:
-        """Return the runners with no slot for a stream that begins there.
+    def _saturated_first_servers(
+        self, layer_map: LayerMap, *, now_s: float
+    ) -> frozenset[str]:
+        """Return the first runners without a free slot.
 
-        Such a stream waits for another one to end, which takes longer than its first
-        event may, whatever its path's steps take.
+        A new stream would wait there for the end of another one, which takes longer
+        than the limit for its first event, independent of the path's step times.
         """
         return frozenset(
-            one.id
-            for one in layer_map.first_servers
-            if self._loads.slots_taken(one, now_s=now_s) >= _NO_SLOT
+            server.id
+            for server in layer_map.first_servers
+            if self._loads.slots_taken(server, now_s=now_s) >= _SLOTS_EXHAUSTED
         )
 
-    def _view(
-        self, left_out: frozenset[str], kept: Path | None, *, now_s: float
-    ) -> _View:
-        """Return what searches go by now."""
-        return _View(
-            left_out,
-            kept,
+    def _search_input(
+        self, excluded: frozenset[str], current_path: Path | None, *, now_s: float
+    ) -> _SearchInput:
+        """Return the present input of searches."""
+        return _SearchInput(
+            excluded,
+            current_path,
             self._paces.slow(now_s=now_s),
             self._loads.pipe_fullness(now_s=now_s),
         )
 
     def _shared_path(
-        self, service: str, maps: _Maps, view: _View, *, now_s: float
+        self,
+        service: str,
+        maps: _LayerMaps,
+        search_input: _SearchInput,
+        *,
+        now_s: float,
     ) -> Path | None:
-        """Return the path of this instance's share of new streams."""
+        """Return the path of this instance's part of the new streams."""
         position = self.zone_position().position
-        shares = self._shares.get(service)
-        if shares is not None and shares.is_of(maps, now_s=now_s):
-            path = select_path(shares.paths, position, excluded=view.left_out)
+        assigned = self._assigned.get(service)
+        if assigned is not None and assigned.is_valid(maps, now_s=now_s):
+            path = select_path(assigned.paths, position, excluded=search_input.excluded)
             if path is not None and not self._is_full(path.first, maps, now_s=now_s):
                 return path
-        parts = part_count(maps.zones[self._zone].chains)
-        paths = self._lay(maps, view, parts=parts, now_s=now_s)
-        self._shares[service] = _Shares(maps, paths, now_s)
-        return select_path(paths, position, excluded=view.left_out)
+        parts = part_count(maps.by_zone[self._zone].first_server_count)
+        paths = self._assign_paths(maps, search_input, parts=parts, now_s=now_s)
+        self._assigned[service] = _AssignedPaths(maps, paths, now_s)
+        return select_path(paths, position, excluded=search_input.excluded)
 
-    def _is_full(self, first: BackendServer, maps: _Maps, *, now_s: float) -> bool:
-        """Tell whether a first runner has filled up since parts were laid."""
-        fullness = self._loads.fullness(first, maps.whole.engine, now_s=now_s)
-        return fullness >= FULL
+    def _is_full(
+        self, first_server: BackendServer, maps: _LayerMaps, *, now_s: float
+    ) -> bool:
+        """Return whether a first runner has become full since the assignment."""
+        utilization = self._loads.fullness(
+            first_server, maps.all_zones.engine, now_s=now_s
+        )
+        return utilization >= FULL_UTILIZATION
 
-    def _lay(
+    def _assign_paths(
         self,
-        maps: _Maps,
-        view: _View,
+        maps: _LayerMaps,
+        search_input: _SearchInput,
         *,
-        first: BackendServer | None = None,
+        first_server: BackendServer | None = None,
         parts: int,
         now_s: float,
     ) -> list[Path]:
-        """Lay what the zone's instances may begin, or move, onto paths."""
-        unseen = self._unseen.expected(
+        """Assign the streams that the zone's instances may start or move to paths."""
+        unreported = self._unreported.expected(
             instances=self.zone_position().instances,
             report_age_s=self._loads.others_age_s(now_s=now_s),
             now_s=now_s,
         )
-        engine = maps.whole.engine
-        zone = first.availability_zone if first is not None else self._zone
-        # The first runner's zone may have no other listed runner any more.
-        near = maps.zones.get(zone, maps.whole)
-        added = functools.partial(self._added, engine=engine, streams=unseen / parts)
-        search = NearFirst(
-            functools.partial(self._find, near, view, first=first),
-            functools.partial(self._find, maps.whole, view, first=first),
-            # A request that moves stays where its KV cache is, if it can.
-            is_quick=True if first is not None else None,
+        engine = maps.all_zones.engine
+        zone = (
+            first_server.availability_zone if first_server is not None else self._zone
+        )
+        # The list may contain no other runner of the first runner's zone any more.
+        local_map = maps.by_zone.get(zone, maps.all_zones)
+        added_utilization = functools.partial(
+            self._added_utilization, engine=engine, streams=unreported / parts
+        )
+        search = LocalFirstSearch(
+            functools.partial(
+                self._find, local_map, search_input, first_server=first_server
+            ),
+            functools.partial(
+                self._find, maps.all_zones, search_input, first_server=first_server
+            ),
+            # A request that moves stays in the zone of its KV cache if possible.
+            is_local_fast=True if first_server is not None else None,
+        )
+        utilization = self._loads.fullness_of(maps.all_zones, now_s=now_s)
+        return assign_paths(
+            search.find, utilization, added_utilization=added_utilization, parts=parts
         )
-        fullness = self._loads.fullness_of(maps.whole, now_s=now_s)
-        return assign_paths(search.find, fullness, added_utilization=added, parts=parts)
 
-    def _added(
+    def _added_utilization(
         self, path: Path, *, engine: EngineSpec, streams: float
     ) -> Mapping[str, float]:
-        """Return, by runner, how much fuller a part makes a path's runners.
+        """Return the utilization that a part adds to a path's runners, by id.
 
-        What is quickest of all is quickest for the other zones too, which lay their
-        streams there as well: after a return of all, one quick chain had twice what
-        it has room for.
+        The fastest chain of all zones is the best one for other zones too, which
+        assign their streams to it as well: after a return of all instances, one fast
+        chain had twice the load of its capacity.
         """
         if path.first.availability_zone != self._zone:
             streams *= max(1.0, self._instances() / self.zone_position().instances)
         return fullness_added(path, engine, streams=streams)
 
-    def _path_after(
-        self, first: BackendServer, maps: _Maps, view: _View, *, now_s: float
+    def _path_from(
+        self,
+        first_server: BackendServer,
+        maps: _LayerMaps,
+        search_input: _SearchInput,
+        *,
+        now_s: float,
     ) -> Path | None:
-        """Return the path of this instance's share of moves that begin at a runner.
+        """Return the path of this instance's part of the moves from a first runner.
 
-        When a group of runners goes dark, all instances move their streams in the
-        same moment, each past the same ones.
+        When a group of runners becomes unreachable, all instances move their streams
+        at the same moment and exclude the same runners.
         """
-        paths = self._lay(maps, view, first=first, parts=_MOVE_PARTS, now_s=now_s)
-        return select_path(paths, self.zone_position().position, excluded=view.left_out)
+        paths = self._assign_paths(
+            maps,
+            search_input,
+            first_server=first_server,
+            parts=_MOVE_PARTS,
+            now_s=now_s,
+        )
+        return select_path(
+            paths, self.zone_position().position, excluded=search_input.excluded
+        )
 
-    def _within_pipe(
+    def _limit_zone_hops(
         self,
         path: Path,
-        maps: _Maps,
-        view: _View,
-        first: BackendServer | None,
+        maps: _LayerMaps,
+        search_input: _SearchInput,
+        first_server: BackendServer | None,
         *,
         now_s: float,
     ) -> Path | None:
-        """Return a path, or one without the hops that the pipe has no room for."""
-        if not path.zone_hops or self._may_cross(path, maps, now_s=now_s):
+        """Return the path, or one without zone hops if the link has no capacity."""
+        if not path.zone_hops or self._may_use_zone_link(path, maps, now_s=now_s):
             return path
-        fullness = self._loads.fullness_of(maps.whole, now_s=now_s)
-        return self._find(maps.whole, view, fullness, first=first, may_cross=False)
+        utilization = self._loads.fullness_of(maps.all_zones, now_s=now_s)
+        return self._find(
+            maps.all_zones,
+            search_input,
+            utilization,
+            first_server=first_server,
+            allow_zone_hops=False,
+        )
 
-    def _may_cross(self, path: Path, maps: _Maps, *, now_s: float) -> bool:
-        """Tell whether a path's hops between zones are this instance's to take."""
-        crossing_ms = maps.whole.engine.zone_transfer_ms
-        cost_ms = path.zone_hops * crossing_ms * max(1, self._instances())
+    def _may_use_zone_link(self, path: Path, maps: _LayerMaps, *, now_s: float) -> bool:
+        """Return whether this instance's share of the zone link permits a path."""
+        transfer_ms = maps.all_zones.engine.zone_transfer_ms
+        cost_ms = path.zone_hops * transfer_ms * max(1, self._instances())
         return self._pipe.may_cross(cost_ms, now_s=now_s)
 
     def _find(
         self,
         layer_map: LayerMap,
-        view: _View,
-        fullness: Mapping[str, float],
+        search_input: _SearchInput,
+        utilization: Mapping[str, float],
         *,
-        first: BackendServer | None = None,
-        may_cross: bool = True,
+        first_server: BackendServer | None = None,
+        allow_zone_hops: bool = True,
     ) -> Path | None:
-        """Search for the best path over some runners."""
+        """Search for the best path in a layer map."""
         return layer_map.find(
             zone=self._zone,
-            excluded=view.left_out,
-            utilization=fullness,
-            slowdowns=view.paces,
-            first_server=first,
-            current_path=view.kept,
-            zone_link_utilization=view.pipe_fullness,
-            allow_zone_hops=may_cross,
+            excluded=search_input.excluded,
+            utilization=utilization,
+            slowdowns=search_input.slowdowns,
+            first_server=first_server,
+            current_path=search_input.current_path,
+            zone_link_utilization=search_input.zone_link_utilization,
+            allow_zone_hops=allow_zone_hops,
         )
 
-    def _maps_of(self, service: ServiceSpec, engine: EngineSpec) -> _Maps:
-        """Return who holds which layers, made anew when the list has changed.
+    def _layer_maps(self, service: ServiceSpec, engine: EngineSpec) -> _LayerMaps:
+        """Return the layer maps, rebuilt after a change of the server list.
 
         Engines are compared by value: each desired state has its own objects.
         """
-        known = self._maps.get(service.name)
+        cached = self._maps.get(service.name)
         revision = self._backends.revision
         if (
-            known is not None
-            and known.revision == revision
-            and known.whole.engine == engine
+            cached is not None
+            and cached.revision == revision
+            and cached.all_zones.engine == engine
         ):
-            return known
+            return cached
         servers = self._backends.usable(service.name)
-        zones = {one.availability_zone for one in servers} | {self._zone}
+        zones = {server.availability_zone for server in servers} | {self._zone}
         by_zone = {
             zone: LayerMap(
-                [one for one in servers if one.availability_zone == zone], engine
+                [server for server in servers if server.availability_zone == zone],
+                engine,
             )
             for zone in zones
         }
-        maps = _Maps(revision, LayerMap(servers, engine), by_zone)
+        maps = _LayerMaps(revision, LayerMap(servers, engine), by_zone)
         self._maps[service.name] = maps
         return maps
--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -28,7 +28,7 @@
 #: left when a zone of three goes, and traffic is a fifth above its mean, stays below.
 _USUAL_LOAD_PART = 0.4
 #: The part of a chain's requests a second that it gets before others are as quick: a
-#: fuller path is left for others (`local_paths.ZONE_FULLNESS`).
+#: fuller path is left for others (`local_paths.MAX_LOCAL_UTILIZATION`).
 _FILLED_PART = 0.6
 #: The fewest usual requests that a chain has to have room for at once.  What a smaller
 #: one takes is worth more as copies: one instance's burst fills it, and each runner of
--- a/src/violethatch/attempts.py
+++ b/src/violethatch/attempts.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""The state of one request on its way through the layers.
+"""Protocol state of one request on its way through the layers.
 
-An `Attempt` decides, without any I/O, which step each stage may be given and
-which result may be taken.  It is what keeps the promise that every layer runs
-exactly once for each token, in order: a result counts only if its label
-(epoch, position) is the one that is waited for, and replacing a stage starts
-a new epoch, so that whatever the old stage still answers is dropped.
+An `Attempt` decides, without any I/O, the next step of each stage and which results
+are accepted.  It ensures that every layer runs exactly once for each token, in order:
+a result is accepted only if its label (epoch, position) is the expected one, and
+replacing a stage starts a new epoch, so that later results of the old stage are
+dropped.
 
 .. versionadded:: 26.1.0
 """
@@ -14,10 +14,10 @@
 
 
 class RetainedInputPool:
-    """Bounds the stage inputs that all requests of a process keep.
+    """Limits the memory of retained stage inputs of all requests of a process.
 
     Args:
-        limit_bytes: The most bytes to keep.
+        limit_bytes: The max size of the retained inputs, in bytes.
 
     .. versionadded:: 26.1.0
     """
@@ -28,15 +28,15 @@
         self.limit_bytes = limit_bytes
         self.used_bytes = 0
 
-    def take(self, size_bytes: int) -> bool:
-        """Take room for an input; tell whether there was any."""
+    def reserve(self, size_bytes: int) -> bool:
+        """Reserve memory for an input; return False if the limit is reached."""
         if self.used_bytes + size_bytes > self.limit_bytes:
             return False
         self.used_bytes += size_bytes
         return True
 
-    def give_back(self, size_bytes: int) -> None:
-        """Return room."""
+    def release(self, size_bytes: int) -> None:
+        """Release reserved memory."""
         self.used_bytes -= size_bytes
 
 
@@ -44,9 +44,9 @@
     """Progress of one request over a route.
 
     Args:
-        stage_count: How many stages the route has.
-        pool: Where the stage inputs are counted that are kept so that a stage
-            can be replaced without running the earlier ones again.
+        stage_count: The number of stages of the route.
+        pool: Accounts for the retained stage inputs, with which a stage can be
+            replaced without running the earlier ones again.
 
     .. versionadded:: 26.1.0
     """
@@ -70,13 +70,13 @@
             msg = f"stage_count must be at least 1, not {stage_count}"
             raise ValueError(msg)
         self.stage_count = stage_count
-        #: Grows with each replacement; results of lower ones are dropped.
+        #: Incremented by each replacement; results of earlier epochs are dropped.
         self.epoch = 1
-        #: The first position that no stage sequence has completed yet.
+        #: The first position that has not passed all stages yet.
         self.position = 0
-        #: The stage whose result is waited for.
+        #: The stage whose result is expected.
         self.stage = 0
-        #: The stage that is being filled with earlier positions, if any.
+        #: Whether a replaced stage is processing earlier positions.
         self.rebuilding = False
         self.tokens: list[int] = []
         self._pool = pool or RetainedInputPool(0)
@@ -85,30 +85,30 @@
 
     @property
     def retains(self) -> bool:
-        """Whether a stage's earlier inputs are all at hand."""
+        """Whether all earlier stage inputs are retained."""
         return self._retained is not None
 
     def accepts(self, *, epoch: int, position: int) -> bool:
-        """Tell whether a result with this label is the one waited for."""
+        """Return whether a result with this label is the expected one."""
         expected = 0 if self.rebuilding else self.position
         return epoch == self.epoch and position == expected
 
     def note_input(self, payload: bytes) -> None:
-        """Keep the current stage's input, if the pool has room for it.
+        """Retain the current stage's input, within the limit of the pool.
 
-        The first stage's inputs are the prompt and the tokens, which are kept
+        Inputs of the first stage are the prompt and the tokens, which are stored
         anyway.
         """
         if self._retained is None or self.stage == 0:
             return
-        if not self._pool.take(len(payload)):
+        if not self._pool.reserve(len(payload)):
             self.release()
             return
         self._retained_bytes += len(payload)
         self._retained[self.stage].append(payload)
 
     def advance(self) -> None:
-        """Take the current stage's result; go on to the next stage.
+        """Accept the current stage's result and advance to the next stage.
 
         Raises:
             ValueError: The current stage is the last one; see `complete`.
@@ -119,7 +119,7 @@
         self.stage += 1
 
     def complete(self, token: int, *, count: int) -> None:
-        """Take the last stage's result: a token, after *count* positions."""
+        """Accept the last stage's result: a token, after *count* positions."""
         if self.stage != self.stage_count - 1:
             msg = f"stage {self.stage} is not the last of {self.stage_count}"
             raise ValueError(msg)
@@ -130,7 +130,7 @@
     def replace_stage(self) -> None:
         """Start a new epoch with another runner for the current stage.
 
-        The new runner has to be given `stage_inputs` at once.
+        The caller has to send `stage_inputs` to the new runner next.
 
         Raises:
             ValueError: The inputs were not retained; see `restart`.
@@ -142,16 +142,16 @@
         self.rebuilding = True
 
     def move_stage(self) -> None:
-        """Start a new epoch: a stage's cache goes to another runner.
+        """Start a new epoch after a stage's cache was moved to another runner.
 
-        Nothing has to be run again.
+        No step has to be repeated.
         """
         self.epoch += 1
 
     def stage_inputs(self) -> list[bytes]:
         """Return the current stage's inputs since position zero, in order.
 
-        The current position's input is the last of them.
+        The last one is the input of the current position.
 
         Raises:
             ValueError: The inputs were not retained.
@@ -162,13 +162,13 @@
         return self._retained[self.stage]
 
     def rebuilt(self) -> None:
-        """Note that the replaced stage has caught up."""
+        """Mark the replaced stage as up to date."""
         self.rebuilding = False
 
     def restart(self, *, stage_count: int) -> None:
-        """Start a new epoch over a new route; the tokens so far stand.
+        """Start a new epoch over a new route, keeping the generated tokens.
 
-        Every stage is given the prompt and the tokens so far, from position
+        Every stage has to process the prompt and these tokens again, from position
         zero.
         """
         self.epoch += 1
@@ -180,7 +180,7 @@
         self._retained = [[] for _ in range(stage_count)]
 
     def release(self) -> None:
-        """Keep no inputs any more, and give their room back."""
-        self._pool.give_back(self._retained_bytes)
+        """Drop the retained inputs and release their memory."""
+        self._pool.release(self._retained_bytes)
         self._retained_bytes = 0
         self._retained = None
--- a/src/violethatch/engine_model.py
+++ b/src/violethatch/engine_model.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What a model engine's work takes, by the formula that the engine states.
+"""Cost model of a model engine.
 
-All times follow the share of the model's layers that a runner works on and
-the runner's accelerator kind.
+All times are proportional to the share of the model's layers that a runner runs, and
+to the factors of its accelerator kind.
 
 .. versionadded:: 26.1.0
 """
@@ -13,8 +13,8 @@
 from typing import NamedTuple
 
 
-#: The time that a hop within a zone costs each token, in ms (twice the one-way
-#: delay of 0.1 ms that the sites state).
+#: Time per token of a hop within a zone, in ms (twice the one-way delay of 0.1 ms that
+#: the sites specify).
 HOP_MS = 0.2
 _BYTES_PER_MB = 1e6
 _BITS_PER_MBIT = 1e6
@@ -26,9 +26,9 @@
     """A kind of accelerator.
 
     Attributes:
-        memory_mb: What layers and KV cache share.
-        step_factor: How much longer steps take than the engine states.
-        prefill_factor: How much longer reading prompts takes.
+        memory_mb: Memory for layers and KV cache.
+        step_factor: Factor on the engine's step times.
+        prefill_factor: Factor on the engine's prefill times.
     """
 
     memory_mb: float
@@ -37,7 +37,7 @@
 
 
 class EngineSpec(NamedTuple):
-    """What a service's engine states of itself.
+    """Cost parameters of a service's engine.
 
     .. versionadded:: 26.1.0
     """
@@ -59,18 +59,18 @@
     zone_delay_ms: Mapping[tuple[str, str], float]
     activation_bytes: float
     pipe_mbps: float
-    #: Tokens that one pass makes, and that come in one event.
+    #: Tokens per pass; they are sent in one event.
     stride_tokens: float = 1.0
-    #: Loads that the store of weights serves at full rate; 0 where that is not stated.
+    #: Concurrent loads that the weight store serves at full rate; 0 if not specified.
     max_concurrent_loads: int = 0
 
     def expected_load_s(self, layers: int) -> float:
-        """Return how long some layers take to load at full rate, in seconds."""
+        """Return the load time of some layers at full rate, in seconds."""
         return self.load_s * layers / self.layer_count
 
     @property
     def zone_transfer_ms(self) -> float:
-        """How long a usual prompt takes up the pipe between zones, in ms."""
+        """Time that a usual prompt occupies the link between zones, in ms."""
         if self.pipe_mbps <= 0:
             return 0.0
         bits = self.usual_prompt_tokens * self.activation_bytes * 8
@@ -83,46 +83,50 @@
 
     @property
     def usual_tokens(self) -> float:
-        """Tokens that a usual request ends up with."""
+        """Tokens of a usual request, prompt and answer."""
         return self.usual_prompt_tokens + self.usual_answer_tokens
 
     def step_time_ms(
         self, kind: AcceleratorKind, layers: int, *, batch_size: float = 1.0
     ) -> float:
-        """Return how long a step over some layers takes, in ms.
+        """Return the time of a decode step over some layers, in ms.
 
         Args:
-            kind: The runner's accelerators.
-            layers: How many layers the step runs.
-            batch_size: Requests that take part in it.
+            kind: The runner's accelerator kind.
+            layers: The number of layers that the step runs.
+            batch_size: The number of requests in the step.
         """
         context_ms = self.usual_tokens * _PER_K * self.context_per_k_ms
-        whole_ms = self.step_ms + batch_size * (self.per_sequence_ms + context_ms)
-        return whole_ms * kind.step_factor * layers / self.layer_count
+        model_ms = self.step_ms + batch_size * (self.per_sequence_ms + context_ms)
+        return model_ms * kind.step_factor * layers / self.layer_count
 
     def prefill_ms(self, kind: AcceleratorKind, layers: int, tokens: float) -> float:
-        """Return how long reading a prompt over some layers takes, in ms."""
+        """Return the prefill time of a prompt over some layers, in ms."""
         pairs_ms = tokens * tokens * _PER_M * self.pairs_per_m_ms
-        whole_ms = tokens / self.read_tokens_per_s / _PER_K + pairs_ms
-        return whole_ms * kind.prefill_factor * layers / self.layer_count
+        model_ms = tokens / self.read_tokens_per_s / _PER_K + pairs_ms
+        return model_ms * kind.prefill_factor * layers / self.layer_count
 
     def usual_prefill_ms(self, kind: AcceleratorKind, layers: int) -> float:
-        """Return how long reading a usual prompt over some layers takes, in ms."""
+        """Return the prefill time of a usual prompt over some layers, in ms."""
         return self.prefill_ms(kind, layers, self.usual_prompt_tokens)
 
     def kv_capacity_tokens(self, kind: AcceleratorKind, layers: int) -> float:
-        """Return the tokens whose KV cache fits beside so many layers."""
-        left_mb = kind.memory_mb - layers * self.layer_mb
-        return max(0.0, left_mb) / (layers * self.kv_layer_token_mb)
+        """Return the KV cache capacity beside some layers, in tokens."""
+        free_mb = kind.memory_mb - layers * self.layer_mb
+        return max(0.0, free_mb) / (layers * self.kv_layer_token_mb)
 
     def max_layers(self, kind: AcceleratorKind, *, kv_tokens: float) -> int:
-        """Return how many layers fit beside the KV cache of so many tokens."""
+        """Return the max number of layers beside the KV cache of some tokens."""
         per_layer_mb = self.layer_mb + kv_tokens * self.kv_layer_token_mb
         return min(self.layer_count, int(kind.memory_mb / per_layer_mb))
 
     def delay_ms(self, zone: str, other: str) -> float:
-        """Return the delay between two zones, in ms; zero within one."""
+        """Return the delay between two zones, in ms; zero within a zone."""
         if zone == other:
             return 0.0
-        known = self.zone_delay_ms.get((zone, other))
-        return known if known is not None else self.zone_delay_ms.get((other, zone), 0)
+        delay_ms = self.zone_delay_ms.get((zone, other))
+        return (
+            delay_ms
+            if delay_ms is not None
+            else self.zone_delay_ms.get((other, zone), 0)
+        )
--- a/src/violethatch/path_shares.py
+++ b/src/violethatch/path_shares.py
@@ -1,18 +1,18 @@
 # SPDX-License-Identifier: MIT
-"""Shares of new streams for the paths that would fill before anybody sees it.
+"""Distribution of new streams over paths between load reports.
 
-Load pattern: many instances begin streams at the same moment, each with news of
-the runners that is older than a stream takes to arrive: an empty fleet at the
-start of traffic, the return of a zone or of all processes, a burst.  If each takes
-the path that looks best, all take the same one; 195 instances sent a third of
-their streams to one first runner, and those streams waited for room.
+Load pattern: many instances start streams at the same moment, each with load reports
+that are older than a stream takes to arrive: an empty fleet at the start of traffic,
+the return of a zone or of all processes, a burst.  If each instance selected the path
+with the lowest cost, all would select the same one; 195 instances sent a third of
+their streams to one first runner, and those streams waited for capacity.
 
-What all instances of a zone may begin before the news comes round is therefore
-laid onto the zone's paths in parts, one after the other, each on the path that is
-best with the earlier parts counted in.  An instance takes the part at its own
-place among the zone's instances.  All compute nearly the same parts, so that
-together they spread as the parts do, without asking each other; and one instance
-keeps to few first runners, whose connections stay open.
+The streams that all instances of a zone may start before the next load reports are
+therefore assigned to the zone's paths in parts, one after the other, each to the path
+that is best with the earlier parts included.  An instance uses the part at its own
+position among the zone's instances.  All compute nearly the same parts, so that
+together they spread as the parts do, without coordination; and an instance uses few
+first runners, whose connections stay open.
 
 .. versionadded:: 26.2.0
 """
@@ -28,37 +28,36 @@
 from .paths import Path
 
 
-#: Into how many parts unseen streams are laid at least and at most; between them, one
-#: for each chain of the zone.  With fewer parts than chains some chains get none: at 13
-#: chains the busiest had 1.8 of the mean with 8 parts (simulated, 350 instances).  Each
-#: part costs a search.
-PARTS = 8
-MOST_PARTS = 16
-#: For how long the parts are used, in seconds: much less than the age of the news
-#: that they are made from.
+#: Min and max number of parts; in between, one per chain of the zone.  With fewer
+#: parts than chains some chains get none: of 13 chains the busiest had 1.8 times the
+#: mean load with 8 parts (simulated, 350 instances).  Each part costs a search.
+MIN_PARTS = 8
+MAX_PARTS = 16
+#: Time to live of the assigned parts, in seconds; much less than the age of the load
+#: reports that they are computed from.
 SHARES_TTL_S = 0.5
-#: How many streams for each instance of the zone are laid out while there is no news at
-#: all: one that has just started knows nothing of how much work comes.
-BLIND_STREAMS = 2.0
-#: How many times the streams are laid out that an instance's own beginnings let
-#: expect, once there is news: arrivals within its age vary, but what is laid out in
-#: vain keeps streams from the quick chains (simulated, 64 instances, one quick chain of
-#: nine: it gets 42 streams of 100 at 1.3, 34 at 2, and is 0.7 and 0.6 full at most).
-MARGIN = 1.3
-#: How many streams each instance of the zone may begin at the least, once there is
-#: news: one that had none in the last seconds still may.
-LEAST_STREAMS = 1.0
-#: Over how long own beginnings are counted, in seconds: some at the least at a rate of
-#: one a second.
-SPAN_S = 2.0
+#: Streams per instance of the zone to assign without any load reports: an instance
+#: that has just started has no estimate of the arrival rate.
+INITIAL_STREAMS_PER_INSTANCE = 2.0
+#: Factor on the streams that an instance's own rate predicts.  Arrivals vary within the
+#: age of the reports, but overestimates keep streams from the fast chains (simulated,
+#: 64 instances, one fast chain of nine: it gets 42 of 100 streams at 1.3 and 34 at 2,
+#: with a max utilization of 0.7 and 0.6).
+ARRIVAL_MARGIN = 1.3
+#: Min streams per instance of the zone to assign with load reports: an instance
+#: without recent streams may still start one.
+MIN_STREAMS_PER_INSTANCE = 1.0
+#: Window of an instance's own stream rate, in seconds; long enough to contain some
+#: streams at a rate of 1/s.
+RATE_WINDOW_S = 2.0
 
 
 class ZonePosition(NamedTuple):
-    """An instance's place among the instances of its availability zone.
+    """An instance's position among the instances of its availability zone.
 
     Attributes:
-        position: Where it stands between the first (0) and the last (1).
-        instances: How many there are.
+        position: From 0 (first instance) to 1 (last instance).
+        instances: The number of instances.
 
     .. versionadded:: 26.2.0
     """
@@ -67,16 +66,16 @@
     instances: int
 
 
-#: The place of an instance that knows of no other.
+#: The position of an instance without known peers.
 SOLE_INSTANCE = ZonePosition(0.0, 1)
 
 
-def part_count(chains: int) -> int:
-    """Return into how many parts to lay streams, given how many chains there are.
+def part_count(chain_count: int) -> int:
+    """Return the number of parts for a number of chains.
 
     .. versionadded:: 26.2.0
     """
-    return max(PARTS, min(MOST_PARTS, chains))
+    return max(MIN_PARTS, min(MAX_PARTS, chain_count))
 
 
 def assign_paths(
@@ -84,39 +83,38 @@
     utilization: Mapping[str, float],
     *,
     added_utilization: Callable[[Path], Mapping[str, float]],
-    parts: int = PARTS,
+    parts: int = MIN_PARTS,
 ) -> list[Path]:
-    """Return the path of each part of the streams that nobody sees yet.
+    """Return the path of each part of the unreported streams.
 
     Args:
-        find: Returns the best path, given how full runners are.
-        utilization: By runner's id, how full it is known to be.
-        added_utilization: By runner's id, how much fuller one part makes a path's
-            runners.
-        parts: How many parts there are.
+        find: Returns the best path for a utilization of runners.
+        utilization: Reported utilization by runner id.
+        added_utilization: Returns the utilization that a part adds on a path, by
+            runner id.
+        parts: The number of parts.
 
     Returns:
-        One path a part, those with the same first runner side by side; fewer where
-        there is no path.
+        One path per part, sorted by first runner; fewer if no path is available.
 
     .. versionadded:: 26.2.0
     """
-    thought = dict(utilization)
+    projected = dict(utilization)
     paths: list[Path] = []
     for _ in range(parts):
-        path = find(thought)
+        path = find(projected)
         if path is None:
             break
         paths.append(path)
-        for server_id, more in added_utilization(path).items():
-            thought[server_id] = thought.get(server_id, 0.0) + more
-    return sorted(paths, key=_order)
+        for server_id, added in added_utilization(path).items():
+            projected[server_id] = projected.get(server_id, 0.0) + added
+    return sorted(paths, key=_sort_key)
 
 
 def select_path(
     paths: Sequence[Path], position: float, *, excluded: Collection[str]
 ) -> Path | None:
-    """Return the part at a position, or the next that uses no runner left out.
+    """Return the path at a position, or the next one without excluded runners.
 
     .. versionadded:: 26.2.0
     """
@@ -128,42 +126,49 @@
 
 
 class UnreportedStreams:
-    """How many streams of its zone an instance can't have heard of yet.
+    """Estimate of the streams of a zone that the load reports don't include yet.
 
     .. versionadded:: 26.2.0
     """
 
     def __init__(self) -> None:
-        self._begun_s: collections.deque[float] = collections.deque()
+        self._started_s: collections.deque[float] = collections.deque()
 
     def record_start(self, *, now_s: float) -> None:
-        """Count a stream of this instance."""
-        self._begun_s.append(now_s)
+        """Record a stream that this instance starts."""
+        self._started_s.append(now_s)
 
     def expected(
         self, *, instances: int, report_age_s: float | None, now_s: float
     ) -> float:
-        """Return how many streams of the zone the known loads may lack.
+        """Return the expected number of unreported streams of the zone.
 
-        Others begin as many a second as this instance does, and what they have begun
-        comes round with the news; until parts are laid again, all begin more.
+        It assumes the own stream rate for each instance.  The streams of other
+        instances are missing for the age of the reports, and those of all instances
+        until the next assignment of parts.
 
         Args:
-            instances: The instances of the zone.
-            report_age_s: The age of what is known of their streams, in seconds, or
-                None if nothing is.
+            instances: The number of instances of the zone.
+            report_age_s: The age of the load reports of other instances, in seconds,
+                or None without reports.
             now_s: The current monotonic time, in seconds.
         """
-        while self._begun_s and now_s - self._begun_s[0] > SPAN_S:
-            self._begun_s.popleft()
-        rate = len(self._begun_s) / SPAN_S
-        until_laid = instances * rate * SHARES_TTL_S / 2
+        while self._started_s and now_s - self._started_s[0] > RATE_WINDOW_S:
+            self._started_s.popleft()
+        rate = len(self._started_s) / RATE_WINDOW_S
+        until_assigned = instances * rate * SHARES_TTL_S / 2
         if report_age_s is None:
-            return max(BLIND_STREAMS * instances, MARGIN * until_laid)
-        of_others = (instances - 1) * rate * report_age_s
-        return max(LEAST_STREAMS * instances, MARGIN * (of_others + until_laid))
-
-
-def _order(path: Path) -> tuple[str, ...]:
-    """Sort key of paths: alike at all instances, and by first runner."""
+            return max(
+                INITIAL_STREAMS_PER_INSTANCE * instances,
+                ARRIVAL_MARGIN * until_assigned,
+            )
+        of_peers = (instances - 1) * rate * report_age_s
+        return max(
+            MIN_STREAMS_PER_INSTANCE * instances,
+            ARRIVAL_MARGIN * (of_peers + until_assigned),
+        )
+
+
+def _sort_key(path: Path) -> tuple[str, ...]:
+    """Sort key of paths, by first runner and the same at all instances."""
     return tuple(stage.server.id for stage in path.stages)
--- a/src/violethatch/paths.py
+++ b/src/violethatch/paths.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Paths of a request through runners that hold layers.
+"""Shortest-path search over runners that hold layer ranges.
 
-A stage of a path may run any part of what its runner holds, so that runners
-with overlapping ranges can stand in for each other.  A `LayerMap` is made once
-for a list of runners; each search goes over its segments, from the first layer
-to the last, and takes the path with the least time for a token.
+A stage of a path may run any part of its runner's layers, so that runners with
+overlapping ranges can replace each other.  A `LayerMap` is built once per list of
+runners; a search processes its segments from the first layer to the last and returns
+the path with the lowest cost per token.
 
 .. versionadded:: 26.1.0
 """
@@ -23,30 +23,29 @@
 from .layers import LayerRange, tiles
 
 
-#: What sending the request to a runner in another zone costs a token, in ms;
-#: no hidden states pass there, so that it need only decide between equals.
-_ENTRY_MS = 0.3
-#: How many times its time in the pipe between zones a prompt's hidden states
-#: cost: all requests share the pipe, in turn.
-_PIPE_WEIGHT = 10.0
-#: From here on a runner counts as full: time grows on by the slope that it has there,
-#: so that of two full runners the fuller one still counts as slower.
-_FULL = 0.95
-#: With which power of its fullness a runner's waiting grows: at 3 it counts as a
-#: seventh slower when half full, and as twice as slow at 0.8.  As one server, twice
-#: as slow when half full, quick chains were left for slow ones of three times the token
-#: time (simulated, 59 to 64 instances: streams of 1.52 and 1.63 s for 1.50 and 1.54 s).
-_WAITING_POWER = 3
-#: How many times its time a runner's reading of a request's tokens counts, where the
-#: request moves: its caller waits for all of it at once, and the runners' other streams
-#: wait as well.
-_READ_WEIGHT = 4.0
-#: The most stages of a path (the engines' limit).
+#: Cost per token of sending the request to a runner in another zone, in ms.  No
+#: activations are transferred there, so that this is only a tie-breaker.
+_REMOTE_ENTRY_MS = 0.3
+#: Weight of the time that a prompt's activations occupy the link between zones, which
+#: all requests share.
+_ZONE_LINK_WEIGHT = 10.0
+#: Utilization at which a runner is full.  Beyond it the queueing factor is extrapolated
+#: linearly, so that of two full runners the one with less load is preferred.
+_MAX_UTILIZATION = 0.95
+#: Exponent of the utilization in the queueing factor: 3 gives a factor of 1.14 at 0.5
+#: and 2 at 0.8.  The formula of a single server (2 at 0.5) moves streams from fast
+#: chains to slow ones of three times the token time (simulated, 59 to 64 instances:
+#: streams of 1.52 and 1.63 s for 1.50 and 1.54 s).
+_QUEUEING_EXPONENT = 3
+#: Weight of the prefill time when a request moves: its caller waits for all of it at
+#: once, and so do the runners' other streams.
+_PREFILL_WEIGHT = 4.0
+#: Max number of stages of a path (the engines' limit).
 MAX_STAGES = 32
 
 
 class Stage(NamedTuple):
-    """A runner's part of a path.
+    """A runner on a path, with the layers that it runs.
 
     .. versionadded:: 26.1.0
     """
@@ -56,7 +55,7 @@
 
 
 class Path(NamedTuple):
-    """Stages that tile the model, and the time they need for a token.
+    """Stages that cover the model in order, with their cost per token.
 
     .. versionadded:: 26.1.0
     """
@@ -66,14 +65,14 @@
 
     @property
     def first(self) -> BackendServer:
-        """The runner that the request is sent to."""
+        """The runner that receives the request."""
         return self.stages[0].server
 
     @property
     def zone_hops(self) -> int:
-        """How often hidden states pass from a zone to another."""
+        """The number of hops between stages in different zones."""
         zones = [stage.server.availability_zone for stage in self.stages]
-        return sum(zone != after for zone, after in itertools.pairwise(zones))
+        return sum(zone != following for zone, following in itertools.pairwise(zones))
 
     @property
     def server_ids(self) -> frozenset[str]:
@@ -81,99 +80,104 @@
         return frozenset(stage.server.id for stage in self.stages)
 
     def server_at(self, address: str | None) -> BackendServer | None:
-        """Return the runner on the path at an address, if there is one."""
+        """Return the runner on the path with an address, or None."""
         servers = (stage.server for stage in self.stages)
-        return next((one for one in servers if one.address == address), None)
+        return next((server for server in servers if server.address == address), None)
 
 
-class _Visit(NamedTuple):
-    """A runner that a way has come to, at its first layer there."""
+class _PathNode(NamedTuple):
+    """A runner on a partial path, with its first layer there."""
 
     server: BackendServer
     first_layer: int
-    before: _Visit | None
+    previous: _PathNode | None
 
 
-class _Way(NamedTuple):
-    """The cheapest way so far that ends at some runner or in some zone."""
+class _PartialPath(NamedTuple):
+    """The cheapest partial path to a runner or a zone."""
 
     cost_ms: float
-    visit: _Visit | None
+    last_node: _PathNode | None
 
 
-class _Usage(NamedTuple):
-    """How runners may be used in one search."""
+class _SearchContext(NamedTuple):
+    """Constraints and costs of runners in one search."""
 
-    #: Ids of those that may not be used.
-    left_out: Collection[str]
-    #: By id, how many times slower a runner counts for being full; 1 if it isn't there.
-    slowness: Mapping[str, float]
-    #: By id, how many times longer slow runners take for a step.
-    paces: Mapping[str, float]
-    #: By id, the layers for which a runner has the request's KV cache already.
-    kept: Mapping[str, LayerRange]
-    #: By kind, what a layer without that cache costs a token, in ms.
-    read_ms: Mapping[str, float]
+    #: Ids of the runners that must not be used.
+    excluded: Collection[str]
+    #: Factor on the step time due to load, by runner id; 1 if missing.
+    queueing_factors: Mapping[str, float]
+    #: Factor on the step time of slow runners, by runner id; 1 if missing.
+    slowdowns: Mapping[str, float]
+    #: Layers for which a runner has the request's KV cache, by runner id.
+    cached_layers: Mapping[str, LayerRange]
+    #: Cost per token of a layer without that cache, in ms, by kind.
+    prefill_ms: Mapping[str, float]
 
     def cost_ms(
         self, server: BackendServer, layers: LayerRange, step_ms: float
     ) -> float:
-        """Return what a runner's work on some layers costs a token, in ms.
+        """Return the cost per token of running some layers on a runner, in ms.
 
-        A request that stays needs no more room than it has.
+        The queueing factor does not apply to runners that serve the request already.
         """
-        step_ms *= self.paces.get(server.id, 1.0)
-        kept = self.kept.get(server.id)
-        if kept is not None and kept.covers(layers):
+        step_ms *= self.slowdowns.get(server.id, 1.0)
+        cached = self.cached_layers.get(server.id)
+        if cached is not None and cached.covers(layers):
             return step_ms
-        step_ms *= self.slowness.get(server.id, 1.0)
-        if not self.kept:
+        step_ms *= self.queueing_factors.get(server.id, 1.0)
+        if not self.cached_layers:
             return step_ms
-        return step_ms + layers.size * self.read_ms[server.kind]
+        return step_ms + layers.size * self.prefill_ms[server.kind]
 
 
-class _Head(NamedTuple):
-    """What a path has to begin with.
+class _PathPrefix(NamedTuple):
+    """The required first stage of a path.
 
-    Engines move a request only onto paths that begin with the same runner and the same
-    layers of it: where it held more than it ran, moves that let it run more or fewer
-    were conflicts.
+    Engines accept a move only if the first runner and its layers stay the same: with
+    more or fewer layers of the same runner they report a conflict.
     """
 
     server_id: str
-    #: The layers that it runs, if those are given too.
+    #: The layers that it runs, if these are required too.
     layers: LayerRange | None
 
     def allows(self, server: BackendServer, layers: LayerRange) -> bool:
-        """Tell whether a runner may run some layers."""
-        is_head = server.id == self.server_id
+        """Return whether a runner may run some layers."""
+        is_first = server.id == self.server_id
         if self.layers is None:
-            return is_head or layers.first > 0
-        return is_head == (layers.first < self.layers.end)
+            return is_first or layers.first > 0
+        return is_first == (layers.first < self.layers.end)
 
 
 class LayerMap:
-    """Who holds which layers, prepared for many searches.
+    """Index of runners by layers, shared by many searches.
 
     Args:
-        servers: The runners that may be used.
-        engine: The engine's figures.
+        servers: The usable runners.
+        engine: The engine's cost model.
 
     .. versionadded:: 26.1.0
     """
 
     def __init__(self, servers: Iterable[BackendServer], engine: EngineSpec) -> None:
         self.engine = engine
-        holders = [one for one in servers if one.layers and one.kind in engine.kinds]
+        holders = [
+            server
+            for server in servers
+            if server.layers and server.kind in engine.kinds
+        ]
         self.holders = {holder.id: holder for holder in holders}
-        #: Those that a path may begin at.
+        #: The runners at which a path may begin.
         self.first_servers = [
-            one for one in holders if one.layers and one.layers.first == 0
+            holder for holder in holders if holder.layers and holder.layers.first == 0
         ]
         self._zones = sorted({holder.availability_zone for holder in holders})
         self._segments = segments(holders, engine)
-        self._read_ms = {
-            name: _READ_WEIGHT * engine.usual_prefill_ms(kind, 1) / _left_tokens(engine)
+        self._prefill_ms = {
+            name: _PREFILL_WEIGHT
+            * engine.usual_prefill_ms(kind, 1)
+            / _remaining_tokens(engine)
             for name, kind in engine.kinds.items()
         }
         self._delay_ms = {
@@ -183,8 +187,8 @@
         }
 
     @property
-    def chains(self) -> int:
-        """How many runners a path may begin at."""
+    def first_server_count(self) -> int:
+        """The number of runners at which a path may begin."""
         return len(self._segments[0].holdings) if self._segments else 0
 
     def find(
@@ -199,74 +203,89 @@
         zone_link_utilization: float = 0.0,
         allow_zone_hops: bool = True,
     ) -> Path | None:
-        """Return the quickest path, or None if some layer can't be reached.
+        """Return the path with the lowest cost, or None if no path covers all layers.
 
         Args:
-            zone: The zone to stay in where possible.
-            excluded: Ids of runners that may not be used.
-            utilization: By runner's id, the part of its room that is taken; a full
-                one counts as many times slower.
-            slowdowns: By id, how many times longer slow runners take for a step.
-            first_server: The runner that has to come first, if one has to.
-            current_path: The path that the request is on, if it is on one; other
-                runners than that path's would have to read its tokens first.
-            zone_link_utilization: The part of the time that the pipe between zones is
-                taken.
-            allow_zone_hops: Whether hidden states may pass between zones.
+            zone: The preferred zone.
+            excluded: Ids of runners that must not be used.
+            utilization: Utilization by runner id; it increases a runner's cost.
+            slowdowns: Factor on the step time of slow runners, by runner id.
+            first_server: The required first runner, if any.
+            current_path: The path that the request is on, if any; other runners need
+                a prefill of its tokens.
+            zone_link_utilization: Utilization of the link between zones.
+            allow_zone_hops: Whether consecutive stages may be in different zones.
         """
-        slowness = {one: _slowness(part) for one, part in (utilization or {}).items()}
-        held = (
-            {one.server.id: one.layers for one in current_path.stages}
+        queueing_factors = {
+            server_id: _queueing_factor(part)
+            for server_id, part in (utilization or {}).items()
+        }
+        cached_layers = (
+            {stage.server.id: stage.layers for stage in current_path.stages}
             if current_path
             else {}
         )
-        usage = _Usage(excluded, slowness, slowdowns or {}, held, self._read_ms)
-        pipe_ms = (
-            _pipe_ms(self.engine, zone_link_utilization)
+        context = _SearchContext(
+            excluded,
+            queueing_factors,
+            slowdowns or {},
+            cached_layers,
+            self._prefill_ms,
+        )
+        zone_link_ms = (
+            _zone_link_ms(self.engine, zone_link_utilization)
             if allow_zone_hops
             else math.inf
         )
-        entries = self._start(zone)
-        head = (
-            _Head(
+        entries = self._initial_entries(zone)
+        prefix = (
+            _PathPrefix(
                 first_server.id, current_path.stages[0].layers if current_path else None
             )
             if first_server
             else None
         )
-        ways: dict[str, _Way] = {}
-        for segment in _cut_at_head(self._segments, head):
-            ways = _go_on(segment, ways, entries, usage, head)
-            if not ways:
+        partial_paths: dict[str, _PartialPath] = {}
+        for segment in _split_at_prefix(self._segments, prefix):
+            partial_paths = _extend(segment, partial_paths, entries, context, prefix)
+            if not partial_paths:
                 return None
-            entries = self._entries(ways.values(), pipe_ms)
-        ends = [way for way in ways.values() if way.cost_ms < math.inf]
-        return _best_path(ends, self.engine)
+            entries = self._entries(partial_paths.values(), zone_link_ms)
+        reachable = [path for path in partial_paths.values() if path.cost_ms < math.inf]
+        return _best_path(reachable, self.engine)
 
-    def _start(self, zone: str) -> dict[str, _Way]:
-        """Return, by zone, what sending the request there costs a token."""
+    def _initial_entries(self, zone: str) -> dict[str, _PartialPath]:
+        """Return the cost of sending the request to each zone."""
         return {
-            other: _Way(HOP_MS if other == zone else HOP_MS + _ENTRY_MS, None)
+            other: _PartialPath(
+                HOP_MS if other == zone else HOP_MS + _REMOTE_ENTRY_MS, None
+            )
             for other in self._zones
         }
 
-    def _entries(self, ways: Iterable[_Way], pipe_ms: float) -> dict[str, _Way]:
-        """Return, by zone, the cheapest way to come to a runner there."""
-        best = _best_by_zone(ways)
+    def _entries(
+        self, partial_paths: Iterable[_PartialPath], zone_link_ms: float
+    ) -> dict[str, _PartialPath]:
+        """Return the cheapest partial path with a hop into each zone."""
+        best = _cheapest_by_zone(partial_paths)
         entries = {}
         for zone in self._zones:
-            cost_ms, _, visit = min(
-                (way.cost_ms + self._hop_ms(other, zone, pipe_ms), other, way.visit)
-                for other, way in best.items()
+            cost_ms, _, last_node = min(
+                (
+                    path.cost_ms + self._hop_ms(other, zone, zone_link_ms),
+                    other,
+                    path.last_node,
+                )
+                for other, path in best.items()
             )
-            entries[zone] = _Way(cost_ms, visit)
+            entries[zone] = _PartialPath(cost_ms, last_node)
         return entries
 
-    def _hop_ms(self, zone: str, other: str, pipe_ms: float) -> float:
-        """Return what a hop costs a token, in ms."""
+    def _hop_ms(self, zone: str, other: str, zone_link_ms: float) -> float:
+        """Return the cost of a hop per token, in ms."""
         if zone == other:
             return HOP_MS
-        return HOP_MS + pipe_ms + self._delay_ms[zone, other]
+        return HOP_MS + zone_link_ms + self._delay_ms[zone, other]
 
 
 def find_path(
@@ -278,7 +297,7 @@
     first_server: BackendServer | None = None,
     zone_link_utilization: float = 0.0,
 ) -> Path | None:
-    """Search once over some runners; see `LayerMap.find`.
+    """Run a single search over some runners; see `LayerMap.find`.
 
     .. versionadded:: 26.1.0
     """
@@ -290,129 +309,141 @@
     )
 
 
-def _cut_at_head(parts: Sequence[Segment], head: _Head | None) -> Sequence[Segment]:
-    """Return segments cut where the layers of a path's given first runner end."""
-    if head is None or head.layers is None:
+def _split_at_prefix(
+    parts: Sequence[Segment], prefix: _PathPrefix | None
+) -> Sequence[Segment]:
+    """Return the segments, split at the last layer of a required first stage."""
+    if prefix is None or prefix.layers is None:
         return parts
-    cut: list[Segment] = []
+    split: list[Segment] = []
     for segment in parts:
-        cut.extend(segment.split(head.layers.end))
-    return cut
+        split.extend(segment.split(prefix.layers.end))
+    return split
 
 
-def _go_on(
+def _extend(
     segment: Segment,
-    ways: Mapping[str, _Way],
-    entries: Mapping[str, _Way],
-    usage: _Usage,
-    head: _Head | None,
-) -> dict[str, _Way]:
-    """Return, by runner, the cheapest way through a segment that ends there.
+    partial_paths: Mapping[str, _PartialPath],
+    entries: Mapping[str, _PartialPath],
+    context: _SearchContext,
+    prefix: _PathPrefix | None,
+) -> dict[str, _PartialPath]:
+    """Return the cheapest partial path through a segment to each of its runners.
 
     Args:
-        segment: The layers to go through.
-        ways: By runner, the cheapest way to the segment's first layer.
-        entries: By zone, the cheapest way to come to a runner there.
-        usage: How runners may be used.
-        head: Which part the path has to begin with, if that is given.
+        segment: The segment to add.
+        partial_paths: The cheapest partial paths to the segment's first layer, by
+            runner id.
+        entries: The cheapest partial paths with a hop into a zone, by zone.
+        context: Constraints and costs of runners.
+        prefix: The required first stage, if any.
     """
-    gone_on: dict[str, _Way] = {}
+    extended: dict[str, _PartialPath] = {}
     for server, step_ms in segment.holdings:
-        if server.id in usage.left_out:
+        if server.id in context.excluded:
             continue
-        if head is not None and not head.allows(server, segment.layers):
+        if prefix is not None and not prefix.allows(server, segment.layers):
             continue
-        cost_ms, visit = entries[server.availability_zone]
-        stayed = ways.get(server.id)
-        if stayed is not None and stayed.cost_ms <= cost_ms:
-            cost_ms, visit = stayed
+        cost_ms, node = entries[server.availability_zone]
+        same_server = partial_paths.get(server.id)
+        if same_server is not None and same_server.cost_ms <= cost_ms:
+            cost_ms, node = same_server
         else:
-            visit = _Visit(server, segment.layers.first, visit)
-        cost_ms += usage.cost_ms(server, segment.layers, step_ms)
-        gone_on[server.id] = _Way(cost_ms, visit)
-    return gone_on
+            node = _PathNode(server, segment.layers.first, node)
+        cost_ms += context.cost_ms(server, segment.layers, step_ms)
+        extended[server.id] = _PartialPath(cost_ms, node)
+    return extended
 
 
-def _best_by_zone(ways: Iterable[_Way]) -> dict[str, _Way]:
-    """Return, by zone, the cheapest of the ways that end there."""
-    best: dict[str, _Way] = {}
-    for way in ways:
-        assert way.visit is not None
-        zone = way.visit.server.availability_zone
-        known = best.get(zone)
-        if known is None or way.cost_ms < known.cost_ms:
-            best[zone] = way
-    return best
+def _cheapest_by_zone(partial_paths: Iterable[_PartialPath]) -> dict[str, _PartialPath]:
+    """Return the cheapest partial path to each zone."""
+    cheapest: dict[str, _PartialPath] = {}
+    for path in partial_paths:
+        assert path.last_node is not None
+        zone = path.last_node.server.availability_zone
+        other = cheapest.get(zone)
+        if other is None or path.cost_ms < other.cost_ms:
+            cheapest[zone] = path
+    return cheapest
 
 
-def _slowness(fullness: float) -> float:
-    """Return how much slower a runner counts for being full.
+def _queueing_factor(utilization: float) -> float:
+    """Return the factor on a runner's step time at some utilization.
 
-    A runner takes many requests at once: there is hardly any waiting before most of its
-    room is taken (as in a queue with many servers), and then it grows fast.
+    A runner serves many requests concurrently, so that waiting times are short up to
+    a high utilization and grow quickly above it, as in a multi-server queue.
     """
-    part = min(_FULL, fullness)
-    left = 1.0 - part**_WAITING_POWER
-    beyond = max(0.0, fullness - _FULL)
-    slope: float = _WAITING_POWER * part ** (_WAITING_POWER - 1) / (left * left)
-    return 1.0 / left + beyond * slope
+    part = min(_MAX_UTILIZATION, utilization)
+    free = 1.0 - part**_QUEUEING_EXPONENT
+    excess = max(0.0, utilization - _MAX_UTILIZATION)
+    slope: float = _QUEUEING_EXPONENT * part ** (_QUEUEING_EXPONENT - 1) / (free * free)
+    return 1.0 / free + excess * slope
 
 
-def _single_slowness(fullness: float) -> float:
-    """Return how much slower what takes one after the other gets by being full."""
-    left = 1.0 - min(_FULL, fullness)
-    beyond = max(0.0, fullness - _FULL)
-    return 1.0 / left + beyond / (left * left)
+def _single_server_queueing_factor(utilization: float) -> float:
+    """Return the factor on the service time of a single-server queue."""
+    free = 1.0 - min(_MAX_UTILIZATION, utilization)
+    excess = max(0.0, utilization - _MAX_UTILIZATION)
+    return 1.0 / free + excess / (free * free)
 
 
-def _left_tokens(engine: EngineSpec) -> float:
-    """Return how many tokens a usual request under way still makes."""
+def _remaining_tokens(engine: EngineSpec) -> float:
+    """Return the mean number of tokens that a request in flight still generates."""
     return max(1.0, engine.usual_answer_tokens / 2)
 
 
-def _pipe_ms(engine: EngineSpec, fullness: float) -> float:
-    """Return what a hop between zones costs a token beside its delay, in ms."""
-    share_ms = engine.zone_transfer_ms / max(1.0, engine.usual_answer_tokens)
-    return _PIPE_WEIGHT * share_ms * _single_slowness(fullness)
+def _zone_link_ms(engine: EngineSpec, utilization: float) -> float:
+    """Return the cost per token of a hop between zones beside its delay, in ms."""
+    transfer_ms = engine.zone_transfer_ms / max(1.0, engine.usual_answer_tokens)
+    return _ZONE_LINK_WEIGHT * transfer_ms * _single_server_queueing_factor(utilization)
 
 
-def _best_path(ends: Iterable[_Way], engine: EngineSpec) -> Path | None:
-    """Follow the cheapest end back to the first layer."""
-    for end in sorted(ends, key=lambda one: one.cost_ms):
-        stages = _without_returns(_stages(end, engine.layer_count))
-        is_whole = tiles([s.layers for s in stages], layer_count=engine.layer_count)
-        if is_whole and len(stages) <= MAX_STAGES:
-            return Path(tuple(stages), end.cost_ms)
+def _best_path(
+    partial_paths: Iterable[_PartialPath], engine: EngineSpec
+) -> Path | None:
+    """Return the cheapest valid path, or None."""
+    for partial_path in sorted(partial_paths, key=lambda path: path.cost_ms):
+        stages = _merge_revisits(_stages(partial_path, engine.layer_count))
+        is_complete = tiles(
+            [stage.layers for stage in stages], layer_count=engine.layer_count
+        )
+        if is_complete and len(stages) <= MAX_STAGES:
+            return Path(tuple(stages), partial_path.cost_ms)
     return None
 
 
-def _stages(end: _Way, layer_count: int) -> list[Stage]:
-    """Return the stages of a way, first to last."""
+def _stages(partial_path: _PartialPath, layer_count: int) -> list[Stage]:
+    """Return the stages of a partial path, first to last."""
     stages: list[Stage] = []
-    visit = end.visit
-    last_layer = layer_count
-    while visit is not None:
-        layers = LayerRange(visit.first_layer, last_layer)
-        stages.append(Stage(visit.server, layers))
-        last_layer = visit.first_layer
-        visit = visit.before
+    node = partial_path.last_node
+    end_layer = layer_count
+    while node is not None:
+        layers = LayerRange(node.first_layer, end_layer)
+        stages.append(Stage(node.server, layers))
+        end_layer = node.first_layer
+        node = node.previous
     return stages[::-1]
 
 
-def _without_returns(stages: Sequence[Stage]) -> list[Stage]:
-    """Let a runner that comes up twice run all that lies between as well.
+def _merge_revisits(stages: Sequence[Stage]) -> list[Stage]:
+    """Merge the stages from a runner's first occurrence to its last one.
 
-    Its range has no gaps, so that it holds those layers too.
+    The runner's layer range is contiguous, so that it holds the layers in between.
     """
-    kept: list[Stage] = []
+    merged: list[Stage] = []
     for stage in stages:
         earlier = next(
-            (i for i, one in enumerate(kept) if one.server.id == stage.server.id), None
+            (
+                index
+                for index, other in enumerate(merged)
+                if other.server.id == stage.server.id
+            ),
+            None,
         )
         if earlier is None:
-            kept.append(stage)
+            merged.append(stage)
             continue
-        first = kept[earlier].layers.first
-        del kept[earlier:]
-        kept.append(Stage(stage.server, LayerRange(first, stage.layers.end)))
-    return kept
+        first = merged[earlier].layers.first
+        del merged[earlier:]
+        merged.append(Stage(stage.server, LayerRange(first, stage.layers.end)))
+    return merged
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The attempt's labels, epochs and retained inputs."""
+"""Labels, epochs and retained inputs of attempts."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class TestAttempt:
-    def test_takes_only_the_label_waited_for(self):
-        """A result of another epoch or position does not count."""
+    def test_accepts_only_the_expected_label(self):
+        """Results of another epoch or position are rejected."""
         attempt = Attempt(stage_count=1)
         assert attempt.accepts(epoch=1, position=0)
         assert not attempt.accepts(epoch=2, position=0)
         assert not attempt.accepts(epoch=1, position=1)
 
-    def test_replacement_makes_earlier_results_late(self):
-        """After a replacement the old epoch's result is refused."""
+    def test_replacement_invalidates_earlier_results(self):
+        """After a replacement results of the old epoch are rejected."""
         attempt = two_stages()
         attempt.replace_stage()
         assert not attempt.accepts(epoch=1, position=0)
         assert attempt.accepts(epoch=2, position=0)
 
-    def test_replacement_waits_for_position_zero(self):
-        """A rebuilt stage answers from position zero, then goes on."""
+    def test_replacement_expects_position_zero(self):
+        """A rebuilt stage responds from position zero, then at the current one."""
         attempt = two_stages()
         attempt.complete(7, count=3)
         attempt.advance()
@@ -51,8 +51,8 @@
         with pytest.raises(ValueError, match="not retained"):
             attempt.replace_stage()
 
-    def test_room_is_given_back(self):
-        """A request that ends, restarts or overflows leaves the pool empty."""
+    def test_memory_is_released(self):
+        """A request that finishes, restarts or overflows leaves the pool empty."""
         pool = RetainedInputPool(5)
         first = Attempt(stage_count=2, pool=pool)
         first.advance()
@@ -66,7 +66,7 @@
         assert (first.retains, pool.used_bytes) == (True, 0)
 
     def test_restart_keeps_the_tokens(self):
-        """A new route starts at position zero with the tokens so far."""
+        """A new route starts at position zero with the generated tokens."""
         attempt = two_stages()
         attempt.complete(7, count=3)
         attempt.restart(stage_count=3)
@@ -74,7 +74,7 @@
         assert attempt.retains
 
     def test_last_stage_completes_a_token(self):
-        """Going on past the last stage is an error, and so is ending early."""
+        """Advancing past the last stage or completing before it is an error."""
         attempt = Attempt(stage_count=2)
         with pytest.raises(ValueError, match="not the last"):
             attempt.complete(1, count=1)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The main job over real processes."""
+"""Completions over real processes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 class TestCompletions:
-    async def test_ordinary_client_streams_a_chat(self, bench):
-        """An OpenAI client gets the model's answer, piece by piece."""
+    async def test_openai_client_streams_a_chat(self, bench):
+        """An OpenAI client receives the response of the model in chunks."""
         await bench.start()
         cluster = bench.cluster
         async with openai.AsyncOpenAI(
@@ -24,31 +24,31 @@
             api_key=workspace_key("clinic"),
             max_retries=0,
         ) as client:
-            pieces = await client.chat.completions.create(
+            chunks = await client.chat.completions.create(
                 model=cluster.model,
                 messages=[{"role": "user", "content": "no nuts"}],
                 max_tokens=12,
                 stream=True,
             )
-            text = "".join([piece.choices[0].delta.content async for piece in pieces])
-            whole = await client.chat.completions.create(
+            text = "".join([chunk.choices[0].delta.content async for chunk in chunks])
+            completion = await client.chat.completions.create(
                 model=cluster.model,
                 messages=[{"role": "user", "content": "no nuts"}],
                 max_tokens=12,
             )
-        wanted = expected_text("user: no nuts", layer_count=LAYERS, limit=12)
-        assert wanted == text
-        assert wanted == whole.choices[0].message.content
+        expected = expected_text("user: no nuts", layer_count=LAYERS, limit=12)
+        assert expected == text
+        assert expected == completion.choices[0].message.content
 
-    async def test_many_callers_get_their_own_answers(self, bench):
-        """120 requests of two workspaces over three instances don't mix."""
+    async def test_concurrent_callers_receive_their_own_responses(self, bench):
+        """120 requests of two workspaces over three instances are not mixed up."""
         entries = ("e1", "e2", "e3")
         await bench.start(entries=entries, zones=("z1", "z1", "z2"))
         cluster = bench.cluster
 
-        async def one(number):
+        async def send_request(number):
             prompt = f"household {number} wants a menu"
-            answer = await stream(
+            response = await stream(
                 cluster.http,
                 cluster.url(entries[number % 3]),
                 workspace=("clinic", "outlet")[number % 2],
@@ -56,18 +56,20 @@
                 prompt=prompt,
                 max_tokens=16,
             )
-            wanted = expected_text(prompt, layer_count=LAYERS, limit=16)
-            return answer.is_whole and answer.text == wanted
+            expected = expected_text(prompt, layer_count=LAYERS, limit=16)
+            return response.is_whole and response.text == expected
 
-        assert all(await asyncio.gather(*(one(number) for number in range(120))))
+        assert all(
+            await asyncio.gather(*(send_request(number) for number in range(120)))
+        )
         ledger = cluster.ledger()
         assert len(ledger.requests) == 120
         assert ledger.faults(layer_count=LAYERS) == []
 
 
 class TestProcess:
-    async def test_serving_process_keeps_the_platforms_rules(self, bench):
-        """No io_uring, no child process, no shared memory, the usual libc."""
+    async def test_serving_process_uses_no_forbidden_facilities(self, bench):
+        """No io_uring, no child processes, no shared memory, the system's libc."""
         await bench.start()
         cluster = bench.cluster
         await stream(
@@ -96,7 +98,7 @@
         assert children == []
         maps = (process / "maps").read_text()
         assert "/dev/shm" not in maps
-        # libc maps its read-only gconv cache as shared; only writable ones count.
+        # libc maps its read-only gconv cache as shared; only writable maps are checked.
         modes = [line.split()[1] for line in maps.splitlines()]
         assert not [mode for mode in modes if mode[1] == "w" and mode[3] == "s"]
         assert "/libc.so" in maps or "/libc-" in maps
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which paths an instance chooses among its zone's and all others."""
+"""Path selection of an instance among its own zone and other zones."""
 
 from __future__ import annotations
 
@@ -18,163 +18,171 @@
 
 
 ZONE = "heredia"
-#: Three chains alike in each of two zones.
-NEAR = [
+#: Three equal chains in each of two zones.
+LOCAL = [
     runner(f"n{chain}-{stage}", stage * 20, stage * 20 + 20, zone=ZONE)
     for chain in range(3)
     for stage in range(4)
 ]
-FAR = [
+REMOTE = [
     runner(f"f{chain}-{stage}", stage * 20, stage * 20 + 20, zone="cartago")
     for chain in range(3)
     for stage in range(4)
 ]
-#: Requests are so small that a chain has room for 160.
+#: Requests are so small that a chain has capacity for 160.
 SERVICE = admitted().service._replace(engine=engine(kv_token_bytes=200_000.0))
 
 
-def routings(count, *servers):
-    """Return the views of instances that make up a zone."""
-    made = []
+def make_routings(count, *servers):
+    """Return the routings of all instances of a zone."""
+    routings = []
     for rank in range(count):
         routing = make_routing(FakeClient(), *servers, rng=random.Random(rank))
-        place = ZonePosition((rank + 0.5) / count, count)
-        routing.know_instances(count=lambda: count, place=lambda place=place: place)
-        made.append(routing)
-    return made
+        position = ZonePosition((rank + 0.5) / count, count)
+        routing.know_instances(
+            count=lambda: count, place=lambda position=position: position
+        )
+        routings.append(routing)
+    return routings
 
 
-def spread_of(firsts):
-    """Return how often the most used is used, in means."""
+def max_to_mean(firsts):
+    """Return the ratio between the max and the mean number of uses."""
     counts = collections.Counter(firsts)
     return max(counts.values()) / (sum(counts.values()) / len(counts))
 
 
 class TestNewStreams:
     @pytest.mark.parametrize("count", [6, 39, 50])
-    def test_instances_that_know_nothing_spread(self, count):
-        """From an empty fleet each begins a stream in the same moment."""
-        made = routings(count, *NEAR, *FAR)
-        firsts = [one.path(SERVICE).first.id for one in made]
+    def test_instances_without_reports_spread(self, count):
+        """With an empty fleet each instance starts a stream at the same moment."""
+        routings = make_routings(count, *LOCAL, *REMOTE)
+        firsts = [routing.path(SERVICE).first.id for routing in routings]
         assert set(firsts) == {"n0-0", "n1-0", "n2-0"}
-        assert spread_of(firsts) <= 1.3
-
-    def test_same_old_news_doesn_t_gather_them(self):
-        """All have heard that one chain is empty; not all go there."""
-        made = routings(39, *NEAR)
-        taken = ServerTotals(30, 30_000.0 * 20)
-        news = {server_number(f"n{n}-{s}"): taken for n in (0, 1) for s in range(4)}
-        for one in made:
-            one.loads.take_others(
-                LoadTotals(38, 0.0, news, age_s=1.2), now_s=clocks.now_s()
+        assert max_to_mean(firsts) <= 1.3
+
+    def test_instances_with_the_same_old_report_spread(self):
+        """One chain is reported as idle; not all instances select it."""
+        routings = make_routings(39, *LOCAL)
+        load = ServerTotals(30, 30_000.0 * 20)
+        report = {server_number(f"n{n}-{s}"): load for n in (0, 1) for s in range(4)}
+        for routing in routings:
+            routing.loads.take_others(
+                LoadTotals(38, 0.0, report, age_s=1.2), now_s=clocks.now_s()
             )
-        counts = collections.Counter(one.path(SERVICE).first.id for one in made)
+        counts = collections.Counter(
+            routing.path(SERVICE).first.id for routing in routings
+        )
         assert counts["n2-0"] >= max(counts["n0-0"], counts["n1-0"])
         assert counts["n2-0"] < 39
 
-    def test_own_zone_comes_first(self):
-        """While the zone has room nothing depends on another."""
-        (one,) = routings(1, *NEAR, *FAR)
-        zones = {s.server.availability_zone for s in one.path(SERVICE).stages}
+    def test_local_zone_is_preferred(self):
+        """While the zone has capacity no path depends on another zone."""
+        (routing,) = make_routings(1, *LOCAL, *REMOTE)
+        zones = {s.server.availability_zone for s in routing.path(SERVICE).stages}
         assert zones == {ZONE}
 
-    def test_full_zone_sends_elsewhere(self):
-        """Callers are not kept waiting while other zones have room."""
-        (one,) = routings(1, *NEAR, *FAR)
+    def test_full_zone_uses_remote_paths(self):
+        """Callers don't wait while other zones have capacity."""
+        (routing,) = make_routings(1, *LOCAL, *REMOTE)
         now_s = clocks.now_s()
         for chain in range(3):
-            one.loads.record_report(f"n{chain}-0", ServerLoad(96, 20, 96), now_s=now_s)
-        assert one.path(SERVICE).first.availability_zone == "cartago"
+            routing.loads.record_report(
+                f"n{chain}-0", ServerLoad(96, 20, 96), now_s=now_s
+            )
+        assert routing.path(SERVICE).first.availability_zone == "cartago"
 
-    def test_quick_first_runner_without_slots_is_passed_over(self):
-        """A quick one kept 102 to 115 streams on its 96 slots, slower ones had free."""
-        quick = [runner(f"q{n}", 40 * n, 40 * n + 40, kind="large") for n in (0, 1)]
+    def test_fast_first_runner_without_slots_is_skipped(self):
+        """A fast runner kept 102 to 115 streams on 96 slots; slower ones had free."""
+        fast = [runner(f"q{n}", 40 * n, 40 * n + 40, kind="large") for n in (0, 1)]
         slow = [runner(f"s{n}", 10 * n, 10 * n + 10, kind="small") for n in range(8)]
-        (one,) = routings(1, *quick, *slow)
+        (routing,) = make_routings(1, *fast, *slow)
         now_s = clocks.now_s()
-        one.loads.record_report("q0", ServerLoad(50, 0, 96), now_s=now_s)
-        assert one.path(SERVICE).first.id == "q0"
-        one.loads.record_report("q0", ServerLoad(90, 0, 96), now_s=now_s)
-        assert one.path(SERVICE).first.id == "s0"
-        one.loads.record_report("s0", ServerLoad(90, 0, 96), now_s=now_s)
-        assert one.path(SERVICE) is not None
-
-    def test_zone_that_lacks_layers_sends_elsewhere(self):
-        """A broken zone's callers are served along whole chains."""
-        (one,) = routings(1, *NEAR[:3], *FAR)
-        assert one.path(SERVICE).first.availability_zone == "cartago"
-
-    def test_runner_that_rests_is_gone_around_at_once(self):
-        """Parts that were laid before are not used over it."""
-        (one,) = routings(1, *NEAR)
-        first = one.path(SERVICE).first
-        one.note_trouble(first, Trouble.SILENT, "c1", "gives no report")
-        assert one.path(SERVICE).first.id != first.id
+        routing.loads.record_report("q0", ServerLoad(50, 0, 96), now_s=now_s)
+        assert routing.path(SERVICE).first.id == "q0"
+        routing.loads.record_report("q0", ServerLoad(90, 0, 96), now_s=now_s)
+        assert routing.path(SERVICE).first.id == "s0"
+        routing.loads.record_report("s0", ServerLoad(90, 0, 96), now_s=now_s)
+        assert routing.path(SERVICE) is not None
+
+    def test_zone_with_missing_layers_uses_remote_paths(self):
+        """Callers of an incomplete zone are served by complete chains."""
+        (routing,) = make_routings(1, *LOCAL[:3], *REMOTE)
+        assert routing.path(SERVICE).first.availability_zone == "cartago"
+
+    def test_runner_in_cooldown_is_excluded_at_once(self):
+        """Parts that were assigned before the failure are not used."""
+        (routing,) = make_routings(1, *LOCAL)
+        first = routing.path(SERVICE).first
+        routing.note_trouble(first, Trouble.SILENT, "c1", "gives no report")
+        assert routing.path(SERVICE).first.id != first.id
 
 
 class TestMoves:
-    def test_streams_of_a_dark_runner_spread(self):
-        """All instances move their streams past the same runner at once."""
-        made = routings(40, *NEAR)
-        first = NEAR[0]
+    def test_streams_of_an_unreachable_runner_spread(self):
+        """All instances move their streams from the same runner at once."""
+        routings = make_routings(40, *LOCAL)
+        first = LOCAL[0]
         seconds = []
-        for one in made:
-            path = one.path(SERVICE, avoided=frozenset({"n0-1"}), first=first)
+        for routing in routings:
+            path = routing.path(SERVICE, avoided=frozenset({"n0-1"}), first=first)
             assert path.first.id == first.id
             seconds.append(path.stages[1].server.id)
         assert set(seconds) == {"n1-1", "n2-1"}
-        assert spread_of(seconds) <= 1.3
-
-    def test_first_runner_of_a_zone_that_is_gone(self):
-        """A move past the last listed runner of a zone finds nothing, and ends well."""
-        (one,) = routings(1, *NEAR)
-        gone = FAR[0]
-        assert one.path(SERVICE, first=gone, avoided=frozenset({"f0-1"})) is None
+        assert max_to_mean(seconds) <= 1.3
+
+    def test_first_runner_of_an_unlisted_zone(self):
+        """A move from the last listed runner of a zone has no path and no error."""
+        (routing,) = make_routings(1, *LOCAL)
+        unlisted = REMOTE[0]
+        assert (
+            routing.path(SERVICE, first=unlisted, avoided=frozenset({"f0-1"})) is None
+        )
 
 
-class TestBlocked:
-    def test_rests_on_the_best_path_tell_how_long(self):
-        """Callers are told of the rests that block them, not of all."""
-        (one,) = routings(1, *NEAR[:8])
+class TestBlockedTime:
+    def test_only_cooldowns_of_the_best_path_count(self):
+        """The reported time doesn't include cooldowns of other paths."""
+        (routing,) = make_routings(1, *LOCAL[:8])
         now_s = clocks.now_s()
-        for server in NEAR[:4]:
-            one.health.note(server.id, Trouble.SILENT, now_s=now_s)
-        one.health.note("n1-2", Trouble.FULL, now_s=now_s)
-        assert one.blocked(SERVICE).remaining_s <= 0.3
-        assert one.blocked(SERVICE).remaining_s > 0.0
-
-    def test_path_that_is_free_first(self):
-        """Not the one of the quickest runners, nor that of the fewest that rest."""
-        (one,) = routings(1, *NEAR[:8])
+        for server in LOCAL[:4]:
+            routing.health.note(server.id, Trouble.SILENT, now_s=now_s)
+        routing.health.note("n1-2", Trouble.FULL, now_s=now_s)
+        assert routing.blocked(SERVICE).remaining_s <= 0.3
+        assert routing.blocked(SERVICE).remaining_s > 0.0
+
+    def test_earliest_available_path(self):
+        """It is neither the fastest path nor the one with the fewest cooldowns."""
+        (routing,) = make_routings(1, *LOCAL[:8])
         now_s = clocks.now_s()
-        for server, rest_s in ((NEAR[0], 9.0), (NEAR[4], 2.0), (NEAR[5], 1.9)):
-            word = ServerSignals(status=503, backoff_s=rest_s, is_binding=True)
-            one.flow_control.record_signals(server, word, "c1")
+        for server, backoff_s in ((LOCAL[0], 9.0), (LOCAL[4], 2.0), (LOCAL[5], 1.9)):
+            signals = ServerSignals(status=503, backoff_s=backoff_s, is_binding=True)
+            routing.flow_control.record_signals(server, signals, "c1")
         for _ in range(2):
-            blocked = one.blocked(SERVICE)
+            blocked = routing.blocked(SERVICE)
             assert 1.8 <= blocked.requested_s <= 2.0
             assert blocked.remaining_s == blocked.requested_s
-        one.flow_control.record_signals(
-            NEAR[1], ServerSignals(status=503, backoff_s=1.0, is_binding=True), "c2"
+        routing.flow_control.record_signals(
+            LOCAL[1], ServerSignals(status=503, backoff_s=1.0, is_binding=True), "c2"
         )
-        assert one.blocked(SERVICE).requested_s <= 2.0
-        for server in (NEAR[3], NEAR[7]):
-            one.health.note(server.id, Trouble.SILENT, now_s=now_s)
-        assert 2.0 <= one.blocked(SERVICE).remaining_s <= 3.0
+        assert routing.blocked(SERVICE).requested_s <= 2.0
+        for server in (LOCAL[3], LOCAL[7]):
+            routing.health.note(server.id, Trouble.SILENT, now_s=now_s)
+        assert 2.0 <= routing.blocked(SERVICE).remaining_s <= 3.0
 
-    def test_lacking_layers_are_not_waited_for(self):
-        """Nobody knows when a layer without a holder comes back."""
-        (one,) = routings(1, *NEAR[:3])
-        assert one.blocked(SERVICE) is None
+    def test_no_time_for_missing_layers(self):
+        """The return of a layer without a holder can't be predicted."""
+        (routing,) = make_routings(1, *LOCAL[:3])
+        assert routing.blocked(SERVICE) is None
 
 
-class TestQuickChainOfAnotherZone:
-    """Load pattern: all zones return at once, and one has a chain that is far quicker.
+class TestFastChainOfAnotherZone:
+    """Load pattern: all zones return at once, and one has a much faster chain.
 
-    Nobody knows anything of loads then.
+    No instance has load reports at that time.
     """
 
-    QUICK = [
+    FAST = [
         runner(f"q{stage}", stage * 20, stage * 20 + 20, kind="large", zone="cartago")
         for stage in range(4)
     ]
@@ -185,68 +193,72 @@
         for n in range(10)
     ]
 
-    def test_zones_leave_room_for_each_other(self):
-        """What two zones lay onto it together does not overfill it."""
-        room = 96
-        made = routings(60, *self.QUICK, *self.SLOW)
-        for one in made:
-            one.instances = lambda: 180
-        quick = sum(one.path(SERVICE).first.id == "q0" for one in made)
-        assert 0 < quick * 2 <= 0.6 * room * 180 / 60
+    def test_zones_reserve_capacity_for_each_other(self):
+        """The parts of two zones together don't exceed the chain's capacity."""
+        capacity = 96
+        routings = make_routings(60, *self.FAST, *self.SLOW)
+        for routing in routings:
+            routing.instances = lambda: 180
+        fast = sum(routing.path(SERVICE).first.id == "q0" for routing in routings)
+        assert 0 < fast * 2 <= 0.6 * capacity * 180 / 60
 
 
-class TestApart:
-    """Load pattern: a server ends under many; one of them may have ended it."""
+class TestIsolatedPath:
+    """Load pattern: a server crashes under many requests; one may be the cause."""
 
-    def test_it_begins_where_few_are(self):
-        """What it may end has fewer requests than where the others go."""
-        (one,) = routings(1, *NEAR, *FAR)
-        usual = one.path(SERVICE)
+    def test_it_begins_at_a_server_with_few_requests(self):
+        """Another crash affects fewer requests than on the usual path."""
+        (routing,) = make_routings(1, *LOCAL, *REMOTE)
+        usual = routing.path(SERVICE)
         for _ in range(20):
-            one.loads.started(usual, 900.0, crossing_ms=0.0, now_s=clocks.now_s())
+            routing.loads.started(usual, 900.0, crossing_ms=0.0, now_s=clocks.now_s())
         for number in range(30):
-            apart = one.path_apart(SERVICE, avoided=frozenset(), trait=f"w{number}")
-            assert apart.first.id != usual.first.id
+            isolated = routing.path_apart(
+                SERVICE, avoided=frozenset(), trait=f"w{number}"
+            )
+            assert isolated.first.id != usual.first.id
 
-    def test_several_are_not_at_the_same_server(self):
-        """They would stay each other's company."""
-        (one,) = routings(1, *NEAR, *FAR)
+    def test_several_requests_use_different_servers(self):
+        """On the same server they could not be distinguished after another crash."""
+        (routing,) = make_routings(1, *LOCAL, *REMOTE)
         firsts = {
-            one.path_apart(SERVICE, avoided=frozenset(), trait=f"w{number}").first.id
+            routing.path_apart(
+                SERVICE, avoided=frozenset(), trait=f"w{number}"
+            ).first.id
             for number in range(30)
         }
         assert len(firsts) == 3
 
-    def test_instances_choose_the_same_for_a_work(self):
-        """It does not go to another server at each instance."""
+    def test_instances_select_the_same_server_for_a_trait(self):
+        """Repeats at other instances don't affect more servers."""
         firsts = {
-            one.path_apart(SERVICE, avoided=frozenset(), trait="w").first.id
-            for one in routings(6, *NEAR, *FAR)
+            routing.path_apart(SERVICE, avoided=frozenset(), trait="w").first.id
+            for routing in make_routings(6, *LOCAL, *REMOTE)
         }
         assert len(firsts) == 1
 
-    def test_avoided_servers_are_left_alone(self):
-        """With nobody else left, there is no such path."""
-        (one,) = routings(1, *NEAR)
+    def test_excluded_servers_are_not_used(self):
+        """There is no isolated path if all first runners are excluded."""
+        (routing,) = make_routings(1, *LOCAL)
         firsts = frozenset(f"n{chain}-0" for chain in range(3))
-        assert one.path_apart(SERVICE, avoided=firsts, trait="w") is None
+        assert routing.path_apart(SERVICE, avoided=firsts, trait="w") is None
 
 
 class TestNewDesiredStates:
-    def test_maps_made_anew_although_nothing_of_the_engine_changed(self, monkeypatch):
-        """Streams of the older state and of the newer one ask in turn."""
-        (one,) = routings(1, *NEAR, *FAR)
+    def test_maps_are_kept_for_an_equal_engine(self, monkeypatch):
+        """Guards against a rebuild per request while two states alternate."""
+        (routing,) = make_routings(1, *LOCAL, *REMOTE)
         newer = SERVICE._replace(engine=engine(kv_token_bytes=200_000.0))
         assert newer.engine is not SERVICE.engine
-        first = one.path(SERVICE)
-        made = []
-        whole_map = _path_choice.LayerMap
+        first = routing.path(SERVICE)
+        built = []
+        layer_map_class = _path_choice.LayerMap
         monkeypatch.setattr(
             _path_choice,
             "LayerMap",
-            lambda *args: made.append(args) or whole_map(*args),
+            lambda *args: built.append(args) or layer_map_class(*args),
         )
-        assert [one.path(newer), one.path(SERVICE)] == [first, first]
-        assert made == []
-        one.path(newer._replace(engine=engine(kv_token_bytes=100_000.0)))
-        assert made
+        assert [routing.path(newer), routing.path(SERVICE)] == [first, first]
+        assert built == []
+        routing.path(newer._replace(engine=engine(kv_token_bytes=100_000.0)))
+        assert built
--- a/tests/test_path_shares.py
+++ b/tests/test_path_shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How streams that nobody sees yet are shared out over paths."""
+"""Distribution of unreported streams over paths."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from routing_samples import engine, runner
 from violethatch.instances import InstanceDirectory, InstanceEntry
 from violethatch.path_shares import (
-    BLIND_STREAMS,
-    LEAST_STREAMS,
-    MARGIN,
-    PARTS,
+    ARRIVAL_MARGIN,
+    INITIAL_STREAMS_PER_INSTANCE,
+    MIN_PARTS,
+    MIN_STREAMS_PER_INSTANCE,
+    RATE_WINDOW_S,
     SHARES_TTL_S,
-    SPAN_S,
     UnreportedStreams,
     ZonePosition,
     assign_paths,
@@ -29,7 +29,7 @@
 from violethatch.stream_loads import fullness_added
 
 
-#: Three chains alike.
+#: Three equal chains.
 CHAINS = [
     runner(f"c{chain}-{stage}", stage * 20, stage * 20 + 20, zone="z1")
     for chain in range(3)
@@ -38,129 +38,135 @@
 MAP = LayerMap(CHAINS, engine())
 
 
-def laid(streams, *, fullness=None, left_out=frozenset()):
-    """Lay unseen streams onto the chains."""
+def assigned(streams, *, utilization=None, excluded=frozenset()):
+    """Assign unreported streams to the chains."""
     return assign_paths(
-        lambda full: MAP.find(zone="z1", utilization=full, excluded=left_out),
-        fullness or {},
+        lambda projected: MAP.find(zone="z1", utilization=projected, excluded=excluded),
+        utilization or {},
         added_utilization=lambda path: fullness_added(
-            path, engine(), streams=streams / PARTS
+            path, engine(), streams=streams / MIN_PARTS
         ),
     )
 
 
 def directory(name, count, *, zone="z1"):
-    """Return a directory of instances in one zone, and one elsewhere."""
+    """Return a directory of instances in one zone, and one in another zone."""
     entries = {
         f"i{n}": InstanceEntry(f"i{n}", zone, "", "", 100.0, 0.0) for n in range(count)
     }
     entries["far"] = InstanceEntry("far", "z2", "", "", 100.0, 0.0)
-    made = InstanceDirectory(entries[name])
-    made.take(entries, is_whole=True)
-    return made
+    instances = InstanceDirectory(entries[name])
+    instances.take(entries, is_whole=True)
+    return instances
 
 
-class TestLayParts:
-    def test_empty_chains_share_what_may_come(self):
-        """Where nothing is known of any load, no chain gets most of the parts."""
-        firsts = collections.Counter(path.first.id for path in laid(120.0))
+class TestAssignPaths:
+    def test_idle_chains_get_equal_parts(self):
+        """Without load reports no chain gets most of the parts."""
+        firsts = collections.Counter(path.first.id for path in assigned(120.0))
         assert len(firsts) == 3
         assert max(firsts.values()) <= 3
 
-    def test_full_chain_gets_none(self):
-        """A chain that others have filled is left to empty first."""
-        paths = laid(40.0, fullness={"c0-0": 0.95})
+    def test_full_chain_gets_no_parts(self):
+        """A chain with reported load gets no new streams until it drains."""
+        paths = assigned(40.0, utilization={"c0-0": 0.95})
         assert {path.first.id for path in paths} == {"c1-0", "c2-0"}
 
-    def test_same_first_runners_stand_side_by_side(self):
-        """Neighbours in a zone use the same connections."""
-        firsts = [path.first.id for path in laid(120.0)]
+    def test_parts_are_sorted_by_first_runner(self):
+        """Instances at adjacent positions use the same connections."""
+        firsts = [path.first.id for path in assigned(120.0)]
         assert firsts == sorted(firsts)
 
-    def test_without_a_path_nothing_is_laid(self):
-        """Layers without a holder leave no part."""
-        left_out = frozenset(one.id for one in CHAINS if one.layers.first == 20)
-        assert laid(40.0, left_out=left_out) == []
+    def test_no_parts_without_a_path(self):
+        """There are no parts if a layer has no holder."""
+        excluded = frozenset(
+            server.id for server in CHAINS if server.layers.first == 20
+        )
+        assert assigned(40.0, excluded=excluded) == []
 
     @given(st.integers(1, 400), st.integers(0, 95))
-    def test_no_chain_is_filled_while_another_is_empty(self, streams, taken):
-        """Parts even out what is known; none goes onto a chain fuller by a part."""
-        known = {"c0-0": taken / 100}
-        paths = laid(float(streams), fullness=known)
-        thought = collections.Counter({"c0-0": taken / 100, "c1-0": 0.0, "c2-0": 0.0})
+    def test_no_chain_is_filled_while_another_is_idle(self, streams, percent):
+        """Parts even out the reported load, within the size of a part."""
+        reported = {"c0-0": percent / 100}
+        paths = assigned(float(streams), utilization=reported)
+        projected = collections.Counter(
+            {"c0-0": percent / 100, "c1-0": 0.0, "c2-0": 0.0}
+        )
         for path in paths:
-            part = fullness_added(path, engine(), streams=streams / PARTS)
-            part_of_one = part[path.first.id]
-            thought[path.first.id] += part_of_one
+            added = fullness_added(path, engine(), streams=streams / MIN_PARTS)
+            added_to_first = added[path.first.id]
+            projected[path.first.id] += added_to_first
         if "c0-0" in {path.first.id for path in paths}:
-            least = min(thought["c1-0"], thought["c2-0"])
-            assert thought["c0-0"] <= least + 1.01 * part_of_one
+            lowest = min(projected["c1-0"], projected["c2-0"])
+            assert projected["c0-0"] <= lowest + 1.01 * added_to_first
 
 
-class TestPick:
-    def test_instances_of_a_zone_take_all_parts(self):
-        """195 instances in five zones, 39 each: all parts are in use, evenly."""
-        paths = laid(120.0)
-        taken = collections.Counter(
+class TestSelectPath:
+    def test_instances_of_a_zone_use_all_parts(self):
+        """195 instances in five zones, 39 each, use all parts evenly."""
+        paths = assigned(120.0)
+        counts = collections.Counter(
             select_path(
                 paths, directory(f"i{n}", 39).place().position, excluded=()
             ).first.id
             for n in range(39)
         )
-        assert max(taken.values()) / statistics.mean(taken.values()) <= 1.3
+        assert max(counts.values()) / statistics.mean(counts.values()) <= 1.3
 
-    def test_part_with_a_runner_left_out_is_passed_over(self):
-        """The next part that can be used is taken."""
-        path = select_path(laid(120.0), 0.0, excluded={"c0-1", "c0-0"})
+    def test_part_with_an_excluded_runner_is_skipped(self):
+        """The next usable part is selected."""
+        path = select_path(assigned(120.0), 0.0, excluded={"c0-1", "c0-0"})
         assert path.first.id == "c1-0"
 
-    def test_without_a_usable_part_there_is_none(self):
-        """All parts may lead over runners that are left alone."""
+    def test_no_path_without_a_usable_part(self):
+        """All parts may contain excluded runners."""
         firsts = {"c0-0", "c1-0", "c2-0"}
-        assert select_path(laid(120.0), 0.4, excluded=firsts) is None
+        assert select_path(assigned(120.0), 0.4, excluded=firsts) is None
         assert select_path([], 0.4, excluded=()) is None
 
 
-class TestUnseenStreams:
-    def test_each_instance_may_have_begun_one(self):
-        """One that has just started reckons with all others of its zone."""
-        unseen = UnreportedStreams()
-        got = unseen.expected(instances=39, report_age_s=None, now_s=0.0)
-        assert got == BLIND_STREAMS * 39 == 78
+class TestUnreportedStreams:
+    def test_each_instance_may_have_started_a_stream(self):
+        """A new instance without reports includes all others of its zone."""
+        unreported = UnreportedStreams()
+        estimate = unreported.expected(instances=39, report_age_s=None, now_s=0.0)
+        assert estimate == INITIAL_STREAMS_PER_INSTANCE * 39 == 78
 
-    def test_own_beginnings_stand_for_the_others(self):
-        """Others begin as many a second as this one while the news is on its way."""
-        unseen = UnreportedStreams()
+    def test_other_instances_are_assumed_to_have_the_own_rate(self):
+        """They start streams at this rate until the reports arrive."""
+        unreported = UnreportedStreams()
         for n in range(8):
-            unseen.record_start(now_s=n * 0.2)
-        got = unseen.expected(instances=10, report_age_s=1.2, now_s=1.6)
-        rate = 8 / SPAN_S
-        assert got == pytest.approx(MARGIN * rate * (9 * 1.2 + 10 * SHARES_TTL_S / 2))
-        got = unseen.expected(instances=10, report_age_s=1.2, now_s=9.0)
-        assert got == pytest.approx(LEAST_STREAMS * 10)
-
-    def test_few_instances_with_new_news_lack_little(self):
-        """Two busy instances that hear of each other at once fill no chain by doubt."""
-        unseen = UnreportedStreams()
+            unreported.record_start(now_s=n * 0.2)
+        estimate = unreported.expected(instances=10, report_age_s=1.2, now_s=1.6)
+        rate = 8 / RATE_WINDOW_S
+        assert estimate == pytest.approx(
+            ARRIVAL_MARGIN * rate * (9 * 1.2 + 10 * SHARES_TTL_S / 2)
+        )
+        estimate = unreported.expected(instances=10, report_age_s=1.2, now_s=9.0)
+        assert estimate == pytest.approx(MIN_STREAMS_PER_INSTANCE * 10)
+
+    def test_few_instances_with_recent_reports_miss_few_streams(self):
+        """Two busy instances with recent reports don't overestimate the load."""
+        unreported = UnreportedStreams()
         for n in range(20):
-            unseen.record_start(now_s=n * 0.1)
-        got = unseen.expected(instances=2, report_age_s=0.3, now_s=2.0)
-        assert got <= MARGIN * 10 * (0.3 + SHARES_TTL_S)
+            unreported.record_start(now_s=n * 0.1)
+        estimate = unreported.expected(instances=2, report_age_s=0.3, now_s=2.0)
+        assert estimate <= ARRIVAL_MARGIN * 10 * (0.3 + SHARES_TTL_S)
 
 
-class TestPlace:
-    def test_places_of_a_zone_are_spread_evenly(self):
-        """No two instances of a zone stand at the same place."""
-        places = sorted(directory(f"i{n}", 8).place() for n in range(8))
-        assert places == [ZonePosition((n + 0.5) / 8, 8) for n in range(8)]
+class TestZonePosition:
+    def test_positions_of_a_zone_are_evenly_spaced(self):
+        """No two instances of a zone have the same position."""
+        positions = sorted(directory(f"i{n}", 8).place() for n in range(8))
+        assert positions == [ZonePosition((n + 0.5) / 8, 8) for n in range(8)]
 
-    def test_others_going_moves_a_place_little(self):
-        """Streams stay at their runners when an instance of the zone goes."""
+    def test_position_changes_little_when_an_instance_stops(self):
+        """Streams stay at their runners when an instance of the zone stops."""
         before = directory("i3", 30).place()
         after = directory("i3", 29).place()
         assert abs(before.position - after.position) < 0.05
 
-    def test_unknown_others_leave_it_alone(self):
-        """Before the entries are read an instance takes itself for the only one."""
-        made = InstanceDirectory(InstanceEntry("i0", "z1", "", "", 100.0, 0.0))
-        assert made.place() == ZonePosition(0.0, 1)
+    def test_position_without_known_peers(self):
+        """Until the entries are read an instance assumes that it is the only one."""
+        instances = InstanceDirectory(InstanceEntry("i0", "z1", "", "", 100.0, 0.0))
+        assert instances.place() == ZonePosition(0.0, 1)
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -18,34 +18,34 @@
 
 class TestFindPath:
     def test_chain(self):
-        """Runners whose ranges meet make a path."""
+        """Adjacent layer ranges make a path."""
         servers = [runner("b", 30, 80), runner("a", 0, 30)]
         path = find_path(servers, engine(), zone="z1")
         assert stages(path) == [("a", 0, 30), ("b", 30, 80)]
 
-    def test_part_of_a_range_stands_in(self):
-        """A lost range is covered by a part of what another runner holds."""
+    def test_overlapping_range_replaces_a_lost_one(self):
+        """A lost range is covered by a part of another runner's layers."""
         servers = [runner("a", 0, 30), runner("c", 20, 60), runner("d", 40, 80)]
         path = find_path(servers, engine(), zone="z1")
         assert [name for name, *_ in stages(path)] == ["a", "c", "d"]
         assert tiles([stage.layers for stage in path.stages], layer_count=80)
 
     def test_missing_layers(self):
-        """Without a holder for some layer there is no path."""
+        """There is no path if a layer has no holder."""
         servers = [runner("a", 0, 30), runner("b", 31, 80)]
         assert find_path(servers, engine(), zone="z1") is None
         assert find_path([], engine(), zone="z1") is None
 
     def test_fast_runner_is_preferred(self):
-        """Of two holders the faster kind is taken."""
+        """Of two holders the faster kind is used."""
         servers = [
             runner("slow", 0, 80, kind="small"),
             runner("fast", 0, 80, kind="large"),
         ]
         assert find_path(servers, engine(), zone="z1").first.id == "fast"
 
-    def test_full_runner_is_avoided(self):
-        """A runner that is nearly full loses to a slower one."""
+    def test_loaded_runner_is_avoided(self):
+        """A nearly full runner has a higher cost than a slower idle one."""
         servers = [
             runner("full", 0, 80, kind="large"),
             runner("free", 0, 80, kind="medium"),
@@ -53,35 +53,37 @@
         path = find_path(servers, engine(), zone="z1", utilization={"full": 0.9})
         assert path.first.id == "free"
 
-    def test_own_zone_between_equals(self):
-        """Of equal runners the zone's own is taken."""
+    def test_local_zone_is_preferred_among_equals(self):
+        """Of equal runners the one in the local zone is used."""
         servers = [runner("far", 0, 80, zone="z2"), runner("near", 0, 80)]
         assert find_path(servers, engine(), zone="z1").first.id == "near"
 
-    def test_whole_path_elsewhere_beats_two_crossings(self):
-        """The pipe between zones is spared where the request can go whole."""
-        near = [runner("n1", 0, 30), runner("n3", 40, 80)]
-        far = [runner("f1", 0, 30, zone="z2"), runner("f2", 30, 80, zone="z2")]
-        path = find_path([*near, *far], engine(), zone="z1", zone_link_utilization=0.8)
+    def test_remote_path_is_preferred_to_two_zone_hops(self):
+        """The zone link is avoided if another zone has a complete path."""
+        local = [runner("n1", 0, 30), runner("n3", 40, 80)]
+        remote = [runner("f1", 0, 30, zone="z2"), runner("f2", 30, 80, zone="z2")]
+        path = find_path(
+            [*local, *remote], engine(), zone="z1", zone_link_utilization=0.8
+        )
         assert path.zone_hops == 0
         assert path.first.id == "f1"
 
-    def test_crossing_where_there_is_no_other_way(self):
-        """A hole in each zone is covered by the other."""
+    def test_zone_hop_without_alternative(self):
+        """Zones with missing layers complement each other."""
         servers = [runner("n1", 0, 40), runner("f2", 40, 80, zone="z2")]
         assert find_path(servers, engine(), zone="z1").zone_hops == 1
 
-    def test_full_pipe_is_not_crossed(self):
-        """Where it may not be crossed, only whole zones make paths."""
+    def test_full_zone_link_is_not_used(self):
+        """Without zone hops only complete zones have paths."""
         servers = [runner("n1", 0, 40), runner("f2", 40, 80, zone="z2")]
         layer_map = LayerMap(servers, engine())
         assert layer_map.find(zone="z1", allow_zone_hops=False) is None
-        whole = LayerMap([*servers, runner("f1", 0, 40, zone="z2")], engine())
-        path = whole.find(zone="z1", allow_zone_hops=False)
+        complete = LayerMap([*servers, runner("f1", 0, 40, zone="z2")], engine())
+        path = complete.find(zone="z1", allow_zone_hops=False)
         assert (path.first.id, path.zone_hops) == ("f1", 0)
 
-    def test_given_first_runner(self):
-        """A request that runs already keeps its first runner."""
+    def test_required_first_runner(self):
+        """A request in flight keeps its first runner."""
         servers = [
             runner("fast", 0, 80, kind="large"),
             runner("kept", 0, 30),
@@ -103,16 +105,16 @@
             max_size=14,
         )
     )
-    def test_every_path_is_proper(self, ranges):
-        """Each layer once and in order, each runner once, within what it holds."""
+    def test_every_path_is_valid(self, ranges):
+        """Each layer once and in order, each runner once, within its layers."""
         servers = [
             runner(f"r{n}", first, min(80, first + size), kind=kind, zone=zone)
             for n, (first, size, kind, zone, _) in enumerate(ranges)
         ]
-        full = {f"r{n}": one[-1] for n, one in enumerate(ranges)}
-        path = find_path(servers, engine(), zone="z1", utilization=full)
+        utilization = {f"r{n}": values[-1] for n, values in enumerate(ranges)}
+        path = find_path(servers, engine(), zone="z1", utilization=utilization)
         if path is None:
-            held = {layer for one in servers for layer in range(*one.layers)}
+            held = {layer for server in servers for layer in range(*server.layers)}
             assert held != set(range(80))
             return
         assert tiles([stage.layers for stage in path.stages], layer_count=80)
@@ -124,17 +126,18 @@
 
 
 class TestMoves:
-    """Load pattern: a group of runners goes dark, and all its streams move at once.
+    """Load pattern: a group of runners is lost, and all its streams move at once.
 
-    Each runner that is new on a path reads the request's tokens before the next
-    event; callers allow a pause of some 200 ms, of which the silence takes most.
+    Each new runner on a path needs a prefill of the request's tokens before the next
+    event.  Callers tolerate a pause of about 200 ms, and most of it is spent on
+    detecting the silence.
     """
 
     CHAIN = [runner(f"c{n}", 20 * n, 20 * n + 20) for n in range(4)]
     OTHER = [runner(f"o{n}", 20 * n, 20 * n + 20) for n in range(4)]
 
     def moved(self, **options):
-        """Return the path past the second runner of a chain."""
+        """Return the path without the second runner of a chain."""
         layer_map = LayerMap([*self.CHAIN, *self.OTHER], engine())
         path = find_path(self.CHAIN, engine(), zone="z1")
         return layer_map.find(
@@ -146,24 +149,24 @@
         )
 
     def test_only_the_lost_runner_is_replaced(self):
-        """The others keep the request's KV cache, also where they are fuller."""
-        fullness = {one.id: 0.3 for one in self.CHAIN}
-        ids = [stage.server.id for stage in self.moved(utilization=fullness).stages]
+        """The others hold the request's KV cache; their higher load is accepted."""
+        utilization = {server.id: 0.3 for server in self.CHAIN}
+        ids = [stage.server.id for stage in self.moved(utilization=utilization).stages]
         assert ids == ["c0", "o1", "c2", "c3"]
 
-    def test_stream_that_stays_needs_no_room(self):
-        """A full runner on the path has the request's KV cache already."""
+    def test_current_runner_needs_no_free_capacity(self):
+        """A full runner on the path holds the request's KV cache already."""
         ids = [stage.server.id for stage in self.moved(utilization={"c2": 0.95}).stages]
         assert ids == ["c0", "o1", "c2", "c3"]
 
-    def test_slow_runners_are_left_all_the_same(self):
-        """A runner that takes ten times as long holds each token up."""
+    def test_slow_runner_is_replaced_too(self):
+        """A runner with a slowdown of ten delays each token."""
         ids = [stage.server.id for stage in self.moved(slowdowns={"c2": 10.0}).stages]
         assert ids == ["c0", "o1", "o2", "c3"]
 
     @given(st.integers(1, 39), st.integers(20, 60))
-    def test_first_part_stays_as_it_is(self, ran, held):
-        """Engines take no other first part: not more of it, and not less."""
+    def test_first_stage_is_unchanged(self, ran, held):
+        """Engines accept no other first stage, with more layers or fewer."""
         first = runner("first", 0, max(ran, held))
         tail = runner("tail", ran, 80)
         spares = [runner(f"s{end}", end, 80) for end in (1, 10, 20, 30, 45)]
@@ -176,12 +179,12 @@
         )
         assert path.stages[0] == stages[0]
 
-    def test_without_a_path_nothing_is_kept(self):
-        """New requests go where runners are emptiest."""
+    def test_new_request_keeps_no_runners(self):
+        """New requests use the runners with the lowest utilization."""
         layer_map = LayerMap([*self.CHAIN, *self.OTHER], engine())
         path = layer_map.find(
-            zone="z1", utilization={one.id: 0.3 for one in self.CHAIN}
+            zone="z1", utilization={server.id: 0.3 for server in self.CHAIN}
         )
         assert {stage.server.id for stage in path.stages} == {
-            one.id for one in self.OTHER
+            server.id for server in self.OTHER
         }
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -212,12 +212,12 @@
         chosen = sorted(
             (KINDS[kind] for kind in kinds), key=lambda one: one.step_factor
         )
-        most_tokens = _chains._most_kv_tokens(chosen, spec)
+        most_tokens = _chains._max_kv_tokens(chosen, spec)
         one_by_one = {
             tuple(counts)
-            for left_out in _chains._LEFT_OUT_PARTS
+            for left_out in _chains._EXCLUDED_FRACTIONS
             for power in _chains._SPEED_POWERS
-            for part in _chains._KV_PARTS
+            for part in _chains._KV_CACHE_FRACTIONS
             if (
                 counts := split_layers(
                     chosen[: len(chosen) - int(left_out * len(chosen))],
@@ -227,7 +227,7 @@
                 )
             )
         }
-        weighed = _chains._splits(chosen, spec)
+        weighed = _chains._candidate_splits(chosen, spec)
         assert {split.counts for split in weighed} == one_by_one
         for split in weighed:
             rate = chain_requests_per_s(chosen[: len(split.counts)], split.counts, spec)
