--- a/src/violethatch/_chains.py
+++ b/src/violethatch/_chains.py
@@ -25,8 +25,8 @@
 _MAX_UTILIZATION = 0.85
 #: KV cache sizes to try, as fractions of the maximum that fits.
 _KV_CACHE_FRACTIONS = tuple(part / 20 for part in range(4, 20))
-#: Exponents of a runner's speed in its share of the layers.  With 1 all steps take
-#: equally long; higher values shorten the time per token and leave slow runners
+#: Exponents of a runner's speed in its share of the layers.  With 1 the steps have
+#: equal duration; higher values shorten the time per token and leave slow runners
 #: unused as spares.
 _SPEED_POWERS = (1.0, 2.0)
 #: Fractions of a group, slowest runners first, to exclude from a chain.
@@ -218,7 +218,7 @@
         engine: The engine's cost model.
         kv_tokens: Tokens whose KV cache has to fit on each runner.
         speed_power: Exponent of a runner's speed in its share of the layers; with 1
-            all steps take equally long.
+            the steps have equal duration.
 
     Returns:
         The number of layers of each runner, or None if they don't fit.
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -479,9 +479,9 @@
     ) -> Mapping[str, float]:
         """Return the utilization that a part adds to a path's runners, by id.
 
-        The fastest chain of all zones is the best one for other zones too, which
-        assign their streams to it as well: after a return of all instances, one fast
-        chain had twice the load of its capacity.
+        The fastest chain is the best one for other zones too, which assign their
+        streams to it as well: after a recovery of all zones, a fast chain had twice
+        the load of its capacity.
         """
         if path.first.availability_zone != self._zone:
             streams *= max(1.0, self._instances() / self.zone_position().instances)
--- a/src/violethatch/path_shares.py
+++ b/src/violethatch/path_shares.py
@@ -3,15 +3,15 @@
 
 Load pattern: many instances start streams at the same moment, each with load reports
 that are older than a stream takes to arrive: an empty fleet at the start of traffic,
-the return of a zone or of all processes, a burst.  If each instance selected the path
-with the lowest cost, all would select the same one; 195 instances sent a third of
-their streams to one first runner, and those streams waited for capacity.
+the recovery of a zone or of all processes, a burst.  If each instance selected the path
+with the lowest cost, they would overload it; 195 instances sent a third of their
+streams to the same first runner, and those streams waited for capacity.
 
 The streams that all instances of a zone may start before the next load reports are
 therefore assigned to the zone's paths in parts, one after the other, each to the path
 that is best with the earlier parts included.  An instance uses the part at its own
-position among the zone's instances.  All compute nearly the same parts, so that
-together they spread as the parts do, without coordination; and an instance uses few
+position among the zone's instances.  Instances compute nearly the same parts, so that
+together they spread as the parts do, without coordination; and each instance uses few
 first runners, whose connections stay open.
 
 .. versionadded:: 26.2.0
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -62,7 +62,7 @@
         assert max_to_mean(firsts) <= 1.3
 
     def test_instances_with_the_same_old_report_spread(self):
-        """One chain is reported as idle; not all instances select it."""
+        """A chain is reported as idle; only some instances select it."""
         routings = make_routings(39, *LOCAL)
         load = ServerTotals(30, 30_000.0 * 20)
         report = {server_number(f"n{n}-{s}"): load for n in (0, 1) for s in range(4)}
@@ -93,7 +93,7 @@
         assert routing.path(SERVICE).first.availability_zone == "cartago"
 
     def test_fast_first_runner_without_slots_is_skipped(self):
-        """A fast runner kept 102 to 115 streams on 96 slots; slower ones had free."""
+        """A fast runner kept 102 to 115 streams on 96 slots beside idle ones."""
         fast = [runner(f"q{n}", 40 * n, 40 * n + 40, kind="large") for n in (0, 1)]
         slow = [runner(f"s{n}", 10 * n, 10 * n + 10, kind="small") for n in range(8)]
         (routing,) = make_routings(1, *fast, *slow)
@@ -177,7 +177,7 @@
 
 
 class TestFastChainOfAnotherZone:
-    """Load pattern: all zones return at once, and one has a much faster chain.
+    """Load pattern: all zones recover at once, and one has a much faster chain.
 
     No instance has load reports at that time.
     """
--- a/tests/test_path_shares.py
+++ b/tests/test_path_shares.py
@@ -62,7 +62,7 @@
 
 class TestAssignPaths:
     def test_idle_chains_get_equal_parts(self):
-        """Without load reports no chain gets most of the parts."""
+        """Without load reports no chain gets the majority of the parts."""
         firsts = collections.Counter(path.first.id for path in assigned(120.0))
         assert len(firsts) == 3
         assert max(firsts.values()) <= 3
