--- a/bench/decision_costs.py
+++ b/bench/decision_costs.py
@@ -37,10 +37,10 @@
 from violethatch.platform._wire import WireDecoder
 from violethatch.retries import RetryBudget
 from violethatch.retry_shares import RetryShare
-from violethatch.runner_health import RunnerHealth, Trouble
-from violethatch.runner_paces import RunnerPaces
+from violethatch.runner_health import RunnerHealth, ServerFault
+from violethatch.slow_runners import SlowRunners
 from violethatch.stream_loads import StreamLoads
-from violethatch.upstream import Sending
+from violethatch.upstream import SendKind
 
 
 #: How often each decision is timed; those that take longer than a tenth of a second in
@@ -115,7 +115,7 @@
         backends=backends,
         health=RunnerHealth(),
         flow_control=FlowController(backends, rng=random.Random(1)),
-        paces=RunnerPaces(),
+        paces=SlowRunners(),
         loads=loads,
         pipe=PipeShare(random.Random(1)),
         instances=lambda: instances,
@@ -172,13 +172,13 @@
         (
             "a trouble noted, all rests read",
             lambda: (
-                health.note("a", Trouble.SILENT, now_s=clocks.now_s()),
-                health.resting(now_s=clocks.now_s()),
+                health.record_fault("a", ServerFault.SILENT, now_s=clocks.now_s()),
+                health.in_cooldown(now_s=clocks.now_s()),
             ),
         ),
         (
             "a look at what a server has said",
-            lambda: gate.check_send(servers[0], Sending.REPORT, ""),
+            lambda: gate.check_send(servers[0], SendKind.REPORT, ""),
         ),
         ("the clock read", clocks.now_s),
         (
--- a/src/violethatch/_connection_choice.py
+++ b/src/violethatch/_connection_choice.py
@@ -38,6 +38,6 @@
         """The session for the next call."""
         return self._fresh if clocks.now_s() < self._fresh_until_s else self._kept
 
-    def note_lost(self) -> None:
+    def record_lost_response(self) -> None:
         """Note that an answer was lost."""
         self._fresh_until_s = clocks.now_s() + self._max_idle_s
--- a/src/violethatch/_sighting_link.py
+++ b/src/violethatch/_fault_report_link.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from . import clocks, events
-from ._listed import lifetime_name, server_and_start
+from ._listed import format_lifetime, parse_lifetime
 from ._peer_datagrams import PeerDatagrams, SendAllowance, SightingsDatagram
-from .runner_health import Trouble
-from .sightings import Hearsay, Sighting
+from .fault_reports import FaultReport, FaultReportReceiver
+from .runner_health import ServerFault
 
 
 #: How long sightings are gathered for one datagram, in seconds.
@@ -24,7 +24,7 @@
 _MS_PER_S = 1000
 
 
-class SightingLink:
+class FaultReportLink:
     """Sends own sightings to all instances, and takes theirs in.
 
     Args:
@@ -32,16 +32,16 @@
         hearsay: Takes what others tell.
     """
 
-    def __init__(self, datagrams: PeerDatagrams, hearsay: Hearsay) -> None:
+    def __init__(self, datagrams: PeerDatagrams, hearsay: FaultReportReceiver) -> None:
         self._datagrams = datagrams
         self._hearsay = hearsay
         #: Tells when a server's known start was, if it is known.
         self.started_ms: Callable[[str], int | None] = lambda _server_id: None
-        self._gathered: list[Sighting] = []
+        self._gathered: list[FaultReport] = []
         self._allowance = SendAllowance(most_a_second=_MOST_A_SECOND)
         datagrams.on(SightingsDatagram, self._take)
 
-    def tell(self, sighting: Sighting) -> None:
+    def broadcast(self, sighting: FaultReport) -> None:
         """Tell all instances of a sighting, soon."""
         if not self._datagrams.is_open:
             return
@@ -61,14 +61,14 @@
             one.server_id
             for one in _sightings(message)
             if not self._is_over(one)
-            and self._hearsay.heard(one, witness=message.sender, now_s=now_s)
+            and self._hearsay.receive(one, witness=message.sender, now_s=now_s)
         ]
         if believed:
             events.log(
                 events.SIGHTING_HEARD, witness=message.sender, server_ids=believed
             )
 
-    def _is_over(self, sighting: Sighting) -> bool:
+    def _is_over(self, sighting: FaultReport) -> bool:
         """Tell whether a sighting is of a start before the one that is known."""
         known_ms = self.started_ms(sighting.server_id) or 0
         return 0 < sighting.started_ms < known_ms
@@ -80,9 +80,9 @@
             return  # the others meet the trouble by themselves
         seen = [
             (
-                lifetime_name(one.server_id, one.started_ms),
+                format_lifetime(one.server_id, one.started_ms),
                 one.trouble.value,
-                int(one.rest_s * _MS_PER_S),
+                int(one.cooldown_s * _MS_PER_S),
             )
             for one in gathered
         ]
@@ -92,14 +92,14 @@
             self._datagrams.send(peer, message)
 
 
-def _sightings(message: SightingsDatagram) -> list[Sighting]:
+def _sightings(message: SightingsDatagram) -> list[FaultReport]:
     """Return the sightings in a datagram.
 
     Raises:
         ValueError: A kind of trouble is not known.
     """
     return [
-        Sighting(server_id, Trouble(trouble), rest_ms / _MS_PER_S, started_ms)
+        FaultReport(server_id, ServerFault(trouble), rest_ms / _MS_PER_S, started_ms)
         for lifetime, trouble, rest_ms in message.seen
-        for server_id, started_ms in (server_and_start(lifetime),)
+        for server_id, started_ms in (parse_lifetime(lifetime),)
     ]
--- a/src/violethatch/_flow_control.py
+++ b/src/violethatch/_flow_control.py
@@ -20,7 +20,7 @@
 from .limit_permits import Permit
 from .server_backoffs import Rest, ServerBackoffs
 from .server_limits import Limit
-from .upstream import KeptBackError, Sending, ServerSignals
+from .upstream import KeptBackError, SendKind, ServerSignals
 
 
 #: The most servers that one line names.
@@ -55,7 +55,9 @@
         #: Told of each word's kind: rest, wish, leaving, limit, unread, unknown.
         self.on_signal: Callable[[str], None] = lambda _kind: None
         #: Told of what is kept back, and why.
-        self.on_send_rejected: Callable[[Sending, str], None] = lambda _what, _why: None
+        self.on_send_rejected: Callable[[SendKind, str], None] = lambda _what, _why: (
+            None
+        )
         #: Told of a server that wishes for less, and for how long, in seconds.
         self.on_advisory_backoff: Callable[[BackendServer, float], None] = (
             lambda _one, _s: None
@@ -66,7 +68,7 @@
     async def admit(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
         *,
         priority: int = 0,
@@ -97,7 +99,7 @@
     def check_send(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
         permit: Permit | None = None,
     ) -> None:
@@ -113,10 +115,10 @@
         if kept is None and limit is not None and not is_permitted:
             kept = _Kept("limit", limit=limit)
         self._check(kept, server, sending, request_id)
-        if sending is Sending.CALL:
+        if sending is SendKind.CALL:
             self.backoffs.record_send(server.id, now_s=now_s)
 
-    def settle(
+    def release_permit(
         self, server: BackendServer, permit: Permit | None, *, was_written: bool
     ) -> None:
         """Use a permit up, or keep it for another send if nothing was written."""
@@ -126,7 +128,7 @@
         self,
         kept: _Kept | None,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
     ) -> None:
         """Count and log what keeps something back, if anything does.
@@ -249,7 +251,7 @@
 
     def _note_leaving(self, server: BackendServer, sent_ms: int) -> bool:
         """Note a server's word that it leaves; tell whether that is news."""
-        is_news = self._backends.note_leaving(
+        is_news = self._backends.mark_leaving(
             server.id, server.started_ms, sent_ms=sent_ms, now_s=clocks.now_s()
         )
         if is_news:
@@ -343,7 +345,7 @@
         return server is not None and server.service == service
 
     def _kept(
-        self, server: BackendServer, sending: Sending, *, now_s: float
+        self, server: BackendServer, sending: SendKind, *, now_s: float
     ) -> _Kept | None:
         """Return what keeps something back from a server, or None."""
         listed = self._backends.get(server.id)
@@ -351,14 +353,14 @@
         rest = self.backoffs.active(server.id, started_ms=started_ms, now_s=now_s)
         if rest is not None:
             return _Kept("rest", rest.until_s - now_s, rest)
-        if sending is Sending.REPORT:
+        if sending is SendKind.REPORT:
             return None  # a question whether it is there, which is no work
         if listed is None:
             # It may serve on for a while, and finish what it has.
-            return _Kept("gone") if sending is not Sending.MOVE else None
+            return _Kept("gone") if sending is not SendKind.MOVE else None
         if not listed.is_leaving:
             return None
-        if sending is Sending.MOVE:
+        if sending is SendKind.MOVE:
             # It finishes what it has, for as long as work for it has to be there.
             leaving_s = self._backends.leaving_for_s(server.id, now_s=now_s)
             is_over = leaving_s >= self._backends.leaving_s
--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -51,15 +51,15 @@
         due = self._due()
         slow = self._slow()
         if slow:
-            await self._routing.probes.look(slow, within_s=_WAIT_S)
+            await self._routing.probes.probe(slow, timeout_s=_WAIT_S)
         if not due:
             return
-        found = await self._routing.probes.look(due, within_s=_WAIT_S)
+        found = await self._routing.probes.probe(due, timeout_s=_WAIT_S)
         now_s = clocks.now_s()
         for server in (*found.silent, *found.pending):
-            self._routing.health.prolong(server.id, now_s=now_s)
+            self._routing.health.extend_cooldown(server.id, now_s=now_s)
         for server_id in found.reports:
-            self._routing.health.worked(server_id)
+            self._routing.health.record_success(server_id)
         if found.reports:
             events.log(events.SERVERS_BACK, server_ids=sorted(found.reports))
 
@@ -69,7 +69,7 @@
         Servers of plain services give no reports.
         """
         now_s = clocks.now_s()
-        silent = self._routing.health.silent(now_s=now_s)
+        silent = self._routing.health.silent_cooldowns_s(now_s=now_s)
         self._asked_s = {
             one: asked_s for one, asked_s in self._asked_s.items() if one in silent
         }
@@ -83,7 +83,7 @@
     def _slow(self) -> list[BackendServer]:
         """Return the slow runners that are to be asked again."""
         routing = self._routing
-        ids = routing.paces.due(
+        ids = routing.paces.due_for_probe(
             instances=routing.instances(), rng=self._rng, now_s=clocks.now_s()
         )
         return self._known(ids)
--- a/src/violethatch/_hosts.py
+++ b/src/violethatch/_hosts.py
@@ -26,24 +26,24 @@
     held: LayerRange | None
 
 
-def with_orders(hosts: Sequence[Host], orders: Mapping[str, LayerRange]) -> list[Host]:
+def apply_orders(hosts: Sequence[Host], orders: Mapping[str, LayerRange]) -> list[Host]:
     """Return hosts as they are once orders are carried out."""
     return [host._replace(held=orders.get(host.id, host.held)) for host in hosts]
 
 
-def least_kv_tokens(engine: EngineSpec) -> float:
+def min_kv_tokens(engine: EngineSpec) -> float:
     """Return the tokens whose KV cache each runner has to have room for."""
     return _LEAST_REQUESTS * engine.usual_tokens
 
 
-def kv_room(host: Host, layers: LayerRange, engine: EngineSpec) -> float:
+def kv_capacity_tokens(host: Host, layers: LayerRange, engine: EngineSpec) -> float:
     """Return the tokens whose KV cache fits on a host beside *layers*."""
     return engine.kv_capacity_tokens(engine.kinds[host.kind], layers.size)
 
 
 def can_hold(hosts: Sequence[Host], engine: EngineSpec) -> bool:
     """Tell whether hosts together hold the model and some requests."""
-    tokens = least_kv_tokens(engine)
+    tokens = min_kv_tokens(engine)
     kinds = (engine.kinds[host.kind] for host in hosts)
     room = sum(engine.max_layers(kind, kv_tokens=tokens) for kind in kinds)
     return room >= engine.layer_count
--- a/src/violethatch/_layer_needs.py
+++ b/src/violethatch/_layer_needs.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Sequence
 
-from ._hosts import Host, kv_room, least_kv_tokens
+from ._hosts import Host, kv_capacity_tokens, min_kv_tokens
 from ._spare_layers import sole_layers
 from .engine_model import EngineSpec
 from .layers import LayerRange
@@ -44,7 +44,7 @@
     for other in held:
         if other.held is None:
             continue
-        tokens = kv_room(other, other.held, engine)
+        tokens = kv_capacity_tokens(other, other.held, engine)
         for layer in range(*other.held):
             room_tokens[layer] += tokens
     need = [1.0 / (1.0 + tokens) for tokens in room_tokens]
@@ -97,9 +97,9 @@
 def _zone_kv_tokens(host: Host, held: Sequence[Host], engine: EngineSpec) -> float:
     """Return the KV cache that the zone's holders have room for."""
     rooms = [
-        kv_room(other, other.held, engine)
+        kv_capacity_tokens(other, other.held, engine)
         for other in held
         if other.held and other.availability_zone == host.availability_zone
     ]
-    least = least_kv_tokens(engine)
+    least = min_kv_tokens(engine)
     return max(least, min(rooms, default=least))
--- a/src/violethatch/_limit_link.py
+++ b/src/violethatch/_limit_link.py
@@ -21,7 +21,7 @@
 
 from . import clocks, events, running_time
 from ._limit_enforcement import LimitGate
-from ._listed import lifetime_name, server_and_start
+from ._listed import format_lifetime, parse_lifetime
 from ._peer_datagrams import (
     LimitDatagram,
     PeerDatagrams,
@@ -272,7 +272,7 @@
             token=keeper.token,
             sender=self._directory.own.id,
             number=number,
-            lifetime=lifetime_name(server_id, limit.started_ms),
+            lifetime=format_lifetime(server_id, limit.started_ms),
             limit_a_s=limit.per_s,
             sent_ago_ms=_ago_ms(limit.sent_s, now_s),
             heard_ago_ms=_ago_ms(limit.heard_s, now_s),
@@ -412,7 +412,7 @@
         message = LimitDatagram(
             token=peer.token,
             sender=self._directory.own.id,
-            lifetime=lifetime_name(server_id, limit.started_ms),
+            lifetime=format_lifetime(server_id, limit.started_ms),
             limit_a_s=None if limit.is_lifted else limit.per_s,
             sent_ago_ms=_ago_ms(limit.sent_s, now_s),
             heard_ago_ms=_ago_ms(limit.heard_s, now_s),
@@ -447,7 +447,7 @@
     message: LimitDatagram | PermitAskDatagram, limit_a_s: float | None
 ) -> tuple[str, Limit]:
     """Return the server that a datagram speaks of, and the word on its limit."""
-    server_id, started_ms = server_and_start(message.lifetime)
+    server_id, started_ms = parse_lifetime(message.lifetime)
     now_s = clocks.now_s()
     limit = Limit(
         math.inf if limit_a_s is None else limit_a_s,
--- a/src/violethatch/_listed.py
+++ b/src/violethatch/_listed.py
@@ -39,15 +39,15 @@
     @property
     def lifetime(self) -> str:
         """What names this start of the server, and none before or after it."""
-        return lifetime_name(self.id, self.started_ms)
+        return format_lifetime(self.id, self.started_ms)
 
 
-def lifetime_name(server_id: str, started_ms: int) -> str:
+def format_lifetime(server_id: str, started_ms: int) -> str:
     """Return what names one start of a server; its id where it tells no start."""
     return f"{server_id}{START_MARK}{started_ms}" if started_ms else server_id
 
 
-def server_and_start(lifetime: str) -> tuple[str, int]:
+def parse_lifetime(lifetime: str) -> tuple[str, int]:
     """Return a server's id, and its start or 0, from what names both."""
     server_id, _, born = lifetime.rpartition(START_MARK)
     if server_id and born.isdecimal() and len(born) <= _START_DIGITS:
--- a/src/violethatch/_pace_link.py
+++ b/src/violethatch/_pace_link.py
@@ -5,7 +5,7 @@
 
 from . import clocks
 from ._peer_datagrams import PaceDatagram, PeerDatagrams, SendAllowance
-from .runner_paces import RunnerPaces
+from .slow_runners import SlowRunners
 
 
 #: Datagrams in a second that an instance may send to all.
@@ -20,13 +20,13 @@
         paces: What is known of slow runners.
     """
 
-    def __init__(self, datagrams: PeerDatagrams, paces: RunnerPaces) -> None:
+    def __init__(self, datagrams: PeerDatagrams, paces: SlowRunners) -> None:
         self._datagrams = datagrams
         self._paces = paces
         self._allowance = SendAllowance(most_a_second=_MOST_A_SECOND)
         datagrams.on(PaceDatagram, self._take)
 
-    def tell(self, server_id: str, slowness: float) -> None:
+    def broadcast(self, server_id: str, slowness: float) -> None:
         """Tell all instances of a runner's word; too many are not told."""
         if not self._allowance.take():
             return
@@ -37,4 +37,4 @@
 
     def _take(self, message: PaceDatagram) -> None:
         """Take another instance's word in."""
-        self._paces.note(message.server_id, message.slowness, now_s=clocks.now_s())
+        self._paces.record(message.server_id, message.slowness, now_s=clocks.now_s())
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -29,7 +29,7 @@
 from .pipe_share import PipeShare
 from .room import Room, Targets, room
 from .runner_health import RunnerHealth
-from .runner_paces import RunnerPaces
+from .slow_runners import SlowRunners
 from .stream_loads import StreamLoads, fullness_added
 
 
@@ -154,7 +154,7 @@
         backends: BackendTable,
         health: RunnerHealth,
         flow_control: FlowController,
-        paces: RunnerPaces,
+        paces: SlowRunners,
         loads: StreamLoads,
         pipe: PipeShare,
         instances: Callable[[], int],
@@ -230,7 +230,7 @@
         now_s = clocks.now_s()
         step = (
             excluded
-            | self._health.resting(now_s=now_s)
+            | self._health.in_cooldown(now_s=now_s)
             | self._flow_control.avoided(now_s=now_s)
         )
         engine = service.engine
@@ -267,7 +267,7 @@
         maps = self._layer_maps(service, service.engine)
         now_s = clocks.now_s()
         requested_s = self._flow_control.blocked_s(priority=priority, now_s=now_s)
-        cooldowns_s = self._health.rests_s(now_s=now_s)
+        cooldowns_s = self._health.cooldowns_s(now_s=now_s)
         for server_id, remaining_s in requested_s.items():
             cooldowns_s[server_id] = max(remaining_s, cooldowns_s.get(server_id, 0.0))
         cached = self._earliest_paths.get(service.name)
@@ -319,7 +319,7 @@
         assert service.engine is not None
         now_s = clocks.now_s()
         maps = self._layer_maps(service, service.engine)
-        unavailable = self._health.shunned(now_s=now_s)
+        unavailable = self._health.excluded(now_s=now_s)
         slowdowns = self._paces.slow(now_s=now_s)
         cached = self._rooms.get(service.name)
         if cached is None or not cached.is_valid(maps, unavailable, slowdowns, targets):
@@ -334,7 +334,7 @@
         """Return the streams of all instances at the available runners."""
         assert service.engine is not None
         now_s = clocks.now_s()
-        unavailable = self._health.shunned(now_s=now_s)
+        unavailable = self._health.excluded(now_s=now_s)
         return sum(
             self._loads.totals_at(server.id, now_s=now_s).streams
             for server in self._layer_maps(
@@ -374,11 +374,11 @@
         """
         limited = self._flow_control.blocked_s(priority=priority, now_s=now_s).keys()
         required = excluded | (limited - current_servers)
-        cooling_down = self._health.resting(now_s=now_s) | required
+        cooling_down = self._health.in_cooldown(now_s=now_s) | required
         optional = self._flow_control.avoided(now_s=now_s) - current_servers
         steps = [cooling_down | optional, cooling_down]
         if include_possibly_full:
-            steps.append(self._health.shunned(now_s=now_s) | required)
+            steps.append(self._health.excluded(now_s=now_s) | required)
         return list(dict.fromkeys(steps))
 
     def _saturated_first_servers(
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -5,6 +5,7 @@
 
 import random
 
+from ._fault_report_link import FaultReportLink
 from ._limit_link import LimitLink
 from ._load_link import LoadLink
 from ._pace_link import PaceLink
@@ -12,7 +13,6 @@
 from ._retry_link import RetryLink
 from ._return_link import ReturnLink
 from ._router import Router
-from ._sighting_link import SightingLink
 from .suspicion import SuspectLink
 
 
@@ -30,7 +30,7 @@
     ) -> None:
         self._datagrams = datagrams
         self._router = router
-        self._sightings = SightingLink(datagrams, router.routing.hearsay)
+        self._sightings = FaultReportLink(datagrams, router.routing.hearsay)
         self._sightings.started_ms = router.routing.started_ms
         self._paces = PaceLink(datagrams, router.routing.paces)
         self._retries = RetryLink(datagrams, router.routing.retries, rng=rng)
@@ -49,12 +49,12 @@
         """Let the router tell and ask the others from now on."""
         routing = self._router.routing
         directory = self._datagrams.directory
-        routing.tell = self._sightings.tell
+        routing.tell = self._sightings.broadcast
         routing.tell_end = self._suspects.tell
         routing.tell_cleared = self._suspects.tell_cleared
         routing.may_try = self._suspects.may_try
         self._suspects.keep_hold = lambda trait: routing.keep_hold(trait)
-        routing.tell_pace = self._paces.tell
+        routing.tell_pace = self._paces.broadcast
         routing.retries.ask_for_retries = self._retries.ask
         routing.flow_control.limits.request_permit = self.limits.request_permit
         routing.flow_control.limits.announce = self.limits.announce
--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placing.py
@@ -328,13 +328,13 @@
             server, order.layers, fence=epoch, expected_sequence=report.sequence
         )
         events.log(
-            events.ORDER_DONE if answer.is_taken else events.ORDER_REFUSED,
+            events.ORDER_DONE if answer.is_accepted else events.ORDER_REFUSED,
             server_id=server.id,
             layers=list(order.layers),
             epoch=epoch,
             outcome=answer.outcome.value,
         )
-        if answer.is_taken:
+        if answer.is_accepted:
             self._note_taken(order)
         else:
             self._note_failed(order)
--- a/src/violethatch/_plain_calls.py
+++ b/src/violethatch/_plain_calls.py
@@ -22,7 +22,7 @@
     VioletHatchError,
 )
 from .forwarding import MustForwardError
-from .runner_health import Trouble
+from .runner_health import ServerFault
 from .store_era import UNREAD
 from .suspicion import WorkInHand
 from .upstream import (
@@ -36,7 +36,7 @@
     Responder,
     Send,
     ServerLoad,
-    tell_nobody,
+    ignore_sends,
 )
 
 
@@ -127,7 +127,7 @@
         admitted: Admitted,
         *,
         runs: int = 0,
-        on_send: OnSend = tell_nobody,
+        on_send: OnSend = ignore_sends,
     ) -> None:
         self._on_send = on_send
         self._routing = routing
@@ -340,7 +340,7 @@
         except KeptBackError:
             return _Outcome(may_have_run=False, is_kept_back=True)
         except NotSentError as error:
-            routing.note_trouble(server, Trouble.SILENT, self._call.id, str(error))
+            routing.note_trouble(server, ServerFault.SILENT, self._call.id, str(error))
             return _Outcome(may_have_run=False)
         except AnswerLostError as error:
             trouble = await self._work.trouble_of(error, server, has_begun=False)
@@ -360,7 +360,7 @@
         bound = gate.blocked_s(priority=self._admitted.priority, now_s=now_s)
         closed = self._refused_by | bound.keys()
         servers = self._routing.usable(self._admitted.service.name)
-        resting = self._routing.health.resting(now_s=now_s)
+        resting = self._routing.health.in_cooldown(now_s=now_s)
         return self._routing.choice.choose(
             [one for one in servers if one.id not in closed],
             zone=self._routing.settings.instance.availability_zone,
@@ -379,7 +379,7 @@
             workspace=self._admitted.workspace_name,
             last_event_id=None,
             # The first send may have been lost with a connection that had rested.
-            is_connection_fresh=not self._route.is_repeatable or self._begun_runs > 1,
+            needs_new_connection=not self._route.is_repeatable or self._begun_runs > 1,
         )
 
     async def _read(self, answer: Answer, server_id: str) -> _Whole | None:
@@ -402,7 +402,7 @@
                 status=answer.status,
             )
         else:
-            self._routing.health.worked(server_id)
+            self._routing.health.record_success(server_id)
             self._work.answered()
         return _Whole(answer.status, answer.headers, body, answer.is_framed)
 
@@ -432,14 +432,17 @@
         if server is not None and attempt.is_past_target:
             waited_s = clocks.now_s() - attempt.sent_s
             self._routing.note_trouble(
-                server, Trouble.SILENT, self._call.id, f"no answer in {waited_s:.2f} s"
+                server,
+                ServerFault.SILENT,
+                self._call.id,
+                f"no answer in {waited_s:.2f} s",
             )
 
     def _failure(self) -> VioletHatchError:
         """Return the error that says what is known."""
         if self.runs:
             if deadlines.is_over(self._deadline_s):
-                limit = self._call.limit_name(self._route.timeout_s)
+                limit = self._call.deadline_source(self._route.timeout_s)
                 return DeadlineError(f"no answer before the deadline: {limit}")
             return ServiceLostError("the backend server's answer was lost")
         held = self._work.held_back()
--- a/src/violethatch/_probes.py
+++ b/src/violethatch/_probes.py
@@ -26,7 +26,7 @@
     is_asked: bool = True
 
 
-class Findings(NamedTuple):
+class ProbeResults(NamedTuple):
     """What probes of some runners have found within a time.
 
     Attributes:
@@ -39,7 +39,7 @@
     silent: tuple[BackendServer, ...]
     pending: tuple[BackendServer, ...]
     reports: dict[str, RunnerReport]
-    unasked: tuple[BackendServer, ...] = ()
+    skipped: tuple[BackendServer, ...] = ()
 
 
 class Probes:
@@ -66,9 +66,9 @@
         self._known: dict[str, _Outcome] = {}
         self._running: dict[str, asyncio.Task[_Outcome]] = {}
 
-    async def look(
-        self, servers: Iterable[BackendServer], *, within_s: float
-    ) -> Findings:
+    async def probe(
+        self, servers: Iterable[BackendServer], *, timeout_s: float
+    ) -> ProbeResults:
         """Return what is found of some runners within a time.
 
         Args:
@@ -82,7 +82,7 @@
         if running:
             # Who has started a probe may be cancelled; the others still want it.
             await running_time.wait(
-                running, limit_s=within_s, return_when=asyncio.ALL_COMPLETED
+                running, limit_s=timeout_s, return_when=asyncio.ALL_COMPLETED
             )
         silent, pending, unasked = [], [], []
         reports: dict[str, RunnerReport] = {}
@@ -96,7 +96,7 @@
                 silent.append(server)
             else:
                 reports[server.id] = outcome.report
-        return Findings(tuple(silent), tuple(pending), reports, tuple(unasked))
+        return ProbeResults(tuple(silent), tuple(pending), reports, tuple(unasked))
 
     def forget(self, server_id: str) -> None:
         """Forget a server that is no longer listed."""
--- a/src/violethatch/_relay_http.py
+++ b/src/violethatch/_relay_http.py
@@ -184,7 +184,7 @@
         except (*NOT_CONNECTED, ValueError) as error:
             raise PeerSilentError(repr(error)) from error
         except (TimeoutError, *CALL_ERRORS) as error:
-            self._connections.note_lost()
+            self._connections.record_lost_response()
             raise PeerLostError(repr(error)) from error
 
     async def _get(
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -52,7 +52,7 @@
     Responder,
     RunnerClient,
     TableView,
-    tell_nobody,
+    ignore_sends,
 )
 
 
@@ -393,7 +393,7 @@
             )
         else:
             gone = [key for key, value in view.values.items() if value is None]
-            change = backends.change(present, gone, refused=refused, now_s=now_s)
+            change = backends.apply_changes(present, gone, refused=refused, now_s=now_s)
         for event, ids in (
             (events.SERVER_FOUND, change.found),
             (events.SERVER_GONE, change.lost),
@@ -462,7 +462,7 @@
             "servers": len(self.routing.backends),
             "held_traits": self.routing.suspects.held(now_s=now_s),
             "suspected_traits": len(self.routing.suspects),
-            "resting": sorted(self.routing.health.resting(now_s=now_s)),
+            "resting": sorted(self.routing.health.in_cooldown(now_s=now_s)),
             "lost_links": {
                 service: lost._asdict()
                 for service, lost in self.routing.link_watch.links.lost().items()
@@ -581,7 +581,7 @@
         responder: Responder,
         *,
         runs: int = 0,
-        on_send: OnSend = tell_nobody,
+        on_send: OnSend = ignore_sends,
     ) -> None:
         """Serve a call by its route's kind, and log how it went."""
         local = self._local_call(call, admitted, runs=runs, on_send=on_send)
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -18,21 +18,21 @@
 from ._retry_budgets import RetryBudgets
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
+from .fault_reports import FaultReport, FaultReportReceiver, should_broadcast
 from .forwarding import Forwarding, LinkWatch
 from .path_shares import ZonePosition
 from .paths import Path
 from .pipe_share import PipeShare
 from .progress import Progress
 from .router_settings import RouterSettings
-from .runner_health import RunnerHealth, Trouble
-from .runner_paces import RunnerPaces
+from .runner_health import RunnerHealth, ServerFault
 from .server_choice import ServerChoice
-from .sightings import Hearsay, Sighting, is_worth_telling
+from .slow_runners import SlowRunners
 from .store_era import UNREAD, TableState
 from .stream_loads import StreamLoads
 from .suspicion import CrashSuspects, End, ServerEnds
 from .turning_away import come_back_s
-from .upstream import Call, Reached, Refusal, RunnerClient, RunnerReport
+from .upstream import Call, ReachOutcome, Refusal, RunnerClient, RunnerReport
 
 
 #: How long before links are found lost trouble with servers is due to that, in seconds.
@@ -57,9 +57,11 @@
         self._rng = rng
         self.backends = BackendTable(leaving_s=settings.bounds.leaving_s)
         self.health = RunnerHealth(stall_s=settings.bounds.stall_s)
-        self.hearsay = Hearsay(self.health, on_leaving=self._heard_leaving, rng=rng)
+        self.hearsay = FaultReportReceiver(
+            self.health, on_leaving=self._heard_leaving, rng=rng
+        )
         #: Tells other instances of a sighting, where there are any.
-        self.tell: Callable[[Sighting], None] = lambda _sighting: None
+        self.tell: Callable[[FaultReport], None] = lambda _sighting: None
         self.probes = Probes(
             client, on_silent=self._note_silent, on_report=self._note_report
         )
@@ -67,7 +69,7 @@
         self.service_of: Callable[[str], ServiceSpec | None] = lambda _name: None
         self.link_watch = LinkWatch(
             self,
-            listed=self.backends.entries,
+            listed=self.backends.entry_servers,
             usable=self.backends.usable,
             services=self.backends.services,
             zone=settings.instance.availability_zone,
@@ -82,7 +84,9 @@
         self.flow_control.on_leaving = self._note_leaving
         client.gate = self.flow_control
         #: Told of each refusal: its trouble, and whether the server rested already.
-        self.on_refusal: Callable[[Trouble, bool], None] = lambda _trouble, _rests: None
+        self.on_refusal: Callable[[ServerFault, bool], None] = lambda _trouble, _rests: (
+            None
+        )
         #: Told of each run that counted as silent: by what finding, and what came then.
         self.on_silent_run: Callable[[str, str], None] = lambda _finding, _outcome: None
         #: Told why a stream that had begun could not be finished.
@@ -103,7 +107,7 @@
         self.may_try: Callable[[str], bool] = lambda _trait: True
         #: Stores whether a trait is held back, where that lasts.
         self.keep_hold: Callable[[str], None] = lambda _trait: None
-        self.paces = RunnerPaces()
+        self.paces = SlowRunners()
         #: Tells other instances what a slow runner has said, where there are any.
         self.tell_pace: Callable[[str, float], None] = lambda _id, _slowness: None
         self.progress = Progress(longest_silence_s=settings.policy.gap_limit_s)
@@ -233,7 +237,9 @@
             events.log(events.SERVER_GONE, server_ids=list(expired), reason="lapsed")
             # A store that was away may have dropped them while they go on.
             self.forget(expired)
-        self.take_restarted(self.backends.take_waiting(now_s=clocks.now_s()).restarted)
+        self.take_restarted(
+            self.backends.apply_deferred(now_s=clocks.now_s()).restarted
+        )
 
     def take_unlisted(self, server_ids: Collection[str]) -> None:
         """Take in that servers are no longer listed."""
@@ -342,9 +348,9 @@
     def _note_links_back(self, server_ids: Collection[str], since_s: float) -> None:
         """Use servers again whose silence was due to this instance's own links."""
         for server_id in server_ids:
-            self.health.forget_since(server_id, since_s - _BEFORE_LOSS_S)
+            self.health.forget_recent(server_id, since_s - _BEFORE_LOSS_S)
 
-    async def reach(self, server: BackendServer) -> Reached:
+    async def reach(self, server: BackendServer) -> ReachOutcome:
         """Ask a server over a new connection; any answer will do."""
         service = self.service_of(server.service)
         health_path = service.health_path if service is not None else ""
@@ -361,16 +367,18 @@
     def _note_wish(self, server: BackendServer, length_s: float) -> None:
         """Send to a server that limits what it gets only where there is no other."""
         length_s = min(length_s, self.health.stall_s)
-        self.health.rest(server.id, Trouble.FULL, length_s, now_s=clocks.now_s())
+        self.health.start_cooldown(
+            server.id, ServerFault.FULL, length_s, now_s=clocks.now_s()
+        )
 
     def _note_leaving(self, server: BackendServer) -> None:
         """Log that a server has said that it leaves, and tell other instances."""
         events.log(events.RUNNER_LEAVING, server_ids=[server.id], reason="said so")
-        self.tell(Sighting(server.id, Trouble.LEAVING, 0.0, server.started_ms))
+        self.tell(FaultReport(server.id, ServerFault.LEAVING, 0.0, server.started_ms))
 
-    def _heard_leaving(self, sighting: Sighting) -> bool:
+    def _heard_leaving(self, sighting: FaultReport) -> bool:
         """Take in that a server has told another instance that it leaves."""
-        is_news = self.backends.note_leaving(
+        is_news = self.backends.mark_leaving(
             sighting.server_id, sighting.started_ms, now_s=clocks.now_s()
         )
         if is_news:
@@ -381,7 +389,7 @@
 
     def _note_silent(self, server: BackendServer) -> None:
         """Leave a server alone that a probe found silent."""
-        self.note_trouble(server, Trouble.SILENT, "", "gives no report")
+        self.note_trouble(server, ServerFault.SILENT, "", "gives no report")
 
     def _note_report(self, server: BackendServer, report: RunnerReport) -> None:
         """Take in how slow a runner says that it is; log one that has become so."""
@@ -389,7 +397,7 @@
             return  # another process's, which has been there before
         now_s = clocks.now_s()
         was_slow = server.id in self.paces.slow(now_s=now_s)
-        self.paces.note(server.id, report.slowness, now_s=now_s)
+        self.paces.record(server.id, report.slowness, now_s=now_s)
         is_slow = server.id in self.paces.slow(now_s=now_s)
         if is_slow or was_slow:
             self.tell_pace(server.id, report.slowness)
@@ -399,11 +407,11 @@
             )
 
     def note_trouble(
-        self, server: BackendServer, trouble: Trouble, request_id: str, reason: str
+        self, server: BackendServer, trouble: ServerFault, request_id: str, reason: str
     ) -> None:
         """Leave a server alone for a while, and log why."""
         self._note(server.id, trouble)
-        if trouble is Trouble.SILENT:
+        if trouble is ServerFault.SILENT:
             self.link_watch.suspect(server)
         events.log(
             events.SERVER_TROUBLE,
@@ -436,7 +444,7 @@
             self.flow_control.record_forwarded_backoff(
                 server, refusal.signals, request_id
             )
-        rested_s = self.health.rests_s(now_s=clocks.now_s()).get(server_id, 0.0)
+        rested_s = self.health.cooldowns_s(now_s=clocks.now_s()).get(server_id, 0.0)
         guessed_s = self._note(server_id, trouble) or 0.0
         asked_s = self.flow_control.blocked_s(now_s=clocks.now_s()).get(server_id, 0.0)
         self.on_refusal(trouble, rested_s > 0)
@@ -452,26 +460,26 @@
             is_told_by_other=is_told_by_other,
         )
 
-    def _note(self, server_id: str, trouble: Trouble) -> float | None:
+    def _note(self, server_id: str, trouble: ServerFault) -> float | None:
         """Leave a server alone for a while, and tell other instances.
 
         Returns:
             For how long, in seconds, or None if it was left alone already.
         """
-        rest_s = self.health.note(server_id, trouble, now_s=clocks.now_s())
-        if rest_s is None or not is_worth_telling(trouble):
+        rest_s = self.health.record_fault(server_id, trouble, now_s=clocks.now_s())
+        if rest_s is None or not should_broadcast(trouble):
             return rest_s
-        sighting = Sighting(server_id, trouble, rest_s, self.started_ms(server_id))
+        sighting = FaultReport(server_id, trouble, rest_s, self.started_ms(server_id))
         server = self.backends.get(server_id)
-        if trouble is Trouble.SILENT and server is not None:
+        if trouble is ServerFault.SILENT and server is not None:
             self.link_watch.when_sound(server, functools.partial(self.tell, sighting))
         else:
             self.tell(sighting)
         return rest_s
 
 
-def _trouble_of(refusal: Refusal, *, is_told_by_other: bool) -> Trouble:
+def _trouble_of(refusal: Refusal, *, is_told_by_other: bool) -> ServerFault:
     """Return the trouble that a refusal tells of."""
     if refusal.is_misdirected:
-        return Trouble.NAMED
-    return Trouble.ABSENT if is_told_by_other else Trouble.FULL
+        return ServerFault.NAMED
+    return ServerFault.ABSENT if is_told_by_other else ServerFault.FULL
--- a/src/violethatch/_services.py
+++ b/src/violethatch/_services.py
@@ -25,7 +25,7 @@
 from .limit_permits import PermitCache, PermitIssuers
 from .ports import ListedInstance
 from .retries import RetryBudget
-from .retry_after import read_retry_after
+from .retry_after import parse_retry_after
 from .server_backoffs import ServerBackoffs
 from .server_limits import Limit, ServerLimits
 
@@ -207,23 +207,23 @@
         """Take in how long a server that turns a call away wants to be left alone."""
         if answer.status != _UNAVAILABLE:
             return
-        asked = read_retry_after(
+        asked = parse_retry_after(
             answer.headers.getall("Retry-After", ()),
             server_time=answer.headers.get("Date"),
             wall_s=clocks.wall_s(),
         )
-        if asked.length_s is None and not asked.unread:
+        if asked.delay_s is None and not asked.invalid:
             return
         is_longer = self._words.record(
-            server["id"], asked.length_s or 0.0, now_s=clocks.now_s()
+            server["id"], asked.delay_s or 0.0, now_s=clocks.now_s()
         )
         events.log(
             events.SERVER_WORD,
             server_id=server["id"],
             status=answer.status,
-            asks_rest_s=asked.length_s,
+            asks_rest_s=asked.delay_s,
             is_longer=is_longer,
-            unread=asked.unread,
+            unread=asked.invalid,
         )
 
     def _hear_limit(
--- a/src/violethatch/_spare_layers.py
+++ b/src/violethatch/_spare_layers.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from ._hosts import Host, kv_room, with_orders
+from ._hosts import Host, apply_orders, kv_capacity_tokens
 from .engine_model import EngineSpec
 from .layers import LayerRange
 
@@ -25,15 +25,17 @@
     made = dict(orders)
     for zone in sorted({host.availability_zone for host in hosts}):
         inside = [host for host in hosts if host.availability_zone == zone]
-        held = [host for host in with_orders(inside, orders) if host.held]
+        held = [host for host in apply_orders(inside, orders) if host.held]
         if not held:
             continue
         rooms = {
-            host.id: kv_room(host, host.held, engine) for host in held if host.held
+            host.id: kv_capacity_tokens(host, host.held, engine)
+            for host in held
+            if host.held
         }
         least = min(rooms.values())
         for host in sorted(held, key=lambda one: (-rooms[one.id], one.id)):
-            others = [one for one in with_orders(held, made) if one.id != host.id]
+            others = [one for one in apply_orders(held, made) if one.id != host.id]
             made[host.id] = _widened(host, others, engine, kv_tokens=least)
     return made
 
--- a/src/violethatch/_zone_repair.py
+++ b/src/violethatch/_zone_repair.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 
 from ._chains import best_chains
-from ._hosts import Host, can_hold, kv_room, least_kv_tokens, with_orders
+from ._hosts import Host, apply_orders, can_hold, kv_capacity_tokens, min_kv_tokens
 from .engine_model import EngineSpec
 from .layers import LayerRange
 
@@ -64,8 +64,8 @@
     orders: dict[str, LayerRange] = {}
     for hole in holes:
         best: dict[str, LayerRange] | None = None
-        best_tokens = least_kv_tokens(engine)
-        held = with_orders(hosts, orders)
+        best_tokens = min_kv_tokens(engine)
+        held = apply_orders(hosts, orders)
         for split in range(hole.first, hole.end + 1):
             option = _split_hole(held, hole, split)
             if option is None:
@@ -102,7 +102,9 @@
 ) -> float:
     """Return the least tokens whose KV cache fits beside ranges."""
     return min(
-        kv_room(host, layers[host.id], engine) for host in hosts if host.id in layers
+        kv_capacity_tokens(host, layers[host.id], engine)
+        for host in hosts
+        if host.id in layers
     )
 
 
--- a/src/violethatch/backends.py
+++ b/src/violethatch/backends.py
@@ -93,7 +93,7 @@
         """Note that the store answers again after it had not."""
         self._store_returned_s = now_s
 
-    def change(
+    def apply_changes(
         self,
         present: Iterable[BackendServer],
         gone: Iterable[str],
@@ -141,7 +141,7 @@
         self.revision += 1
         return ListChange(tuple(found), tuple(lost), tuple(leaving), tuple(restarted))
 
-    def note_leaving(
+    def mark_leaving(
         self, server_id: str, started_ms: int, *, sent_ms: int = 0, now_s: float
     ) -> bool:
         """Take a server's own word in that it leaves; tell whether that is news.
@@ -177,10 +177,10 @@
         since_s = self._leaving_since_s.get(server_id)
         return 0.0 if since_s is None else now_s - since_s
 
-    def take_waiting(self, *, now_s: float) -> ListChange:
+    def apply_deferred(self, *, now_s: float) -> ListChange:
         """Take in entries of earlier starts that have stayed the newest ones."""
         due = self._starts.due(now_s=now_s)
-        return self.change(due, [], now_s=now_s) if due else _NO_CHANGE
+        return self.apply_changes(due, [], now_s=now_s) if due else _NO_CHANGE
 
     def replace(
         self,
@@ -207,7 +207,7 @@
         ]
         if is_restored:
             gone = {one for one in gone if not self._await_rewrite(one, now_s=now_s)}
-        return self.change(present, sorted(gone), refused=refused, now_s=now_s)
+        return self.apply_changes(present, sorted(gone), refused=refused, now_s=now_s)
 
     def _await_rewrite(self, server_id: str, *, now_s: float) -> bool:
         """Keep a server that a copy lacks for a while; return whether it is kept."""
@@ -241,7 +241,7 @@
             if server.service == service and not server.is_leaving
         ]
 
-    def entries(self, service: str) -> list[BackendServer]:
+    def entry_servers(self, service: str) -> list[BackendServer]:
         """Return the usable servers that calls of a service are sent to.
 
         Those are the runners that a path may begin at, where there are any.
--- a/src/violethatch/departures.py
+++ b/src/violethatch/departures.py
@@ -22,7 +22,7 @@
 DEPARTURE_LIFE_S = 120.0
 #: How long a server that a restored store lists again is left out, in seconds: then it
 #: has survived the platform's own checks.
-UNDONE_S = 15.0
+RESTORE_QUARANTINE_S = 15.0
 #: The latest departures are remembered: of the largest fleet planned for, twice.
 _MAX_DEPARTURES = 1_600
 
@@ -57,7 +57,7 @@
 
     def restored(self, *, now_s: float) -> None:
         """Record that the store was restored from a copy."""
-        self._undone_until_s = now_s + UNDONE_S
+        self._undone_until_s = now_s + RESTORE_QUARANTINE_S
 
     def is_undone(self, server: BackendServer, *, now_s: float) -> bool:
         """Return whether a whole list brings back a server that has left.
--- a/src/violethatch/sightings.py
+++ b/src/violethatch/fault_reports.py
@@ -16,11 +16,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .runner_health import RunnerHealth, Trouble
+from .runner_health import RunnerHealth, ServerFault
 
 
 #: Troubles that a runner has told of another.
-_TOLD = frozenset((Trouble.NAMED, Trouble.ABSENT))
+_TOLD = frozenset((ServerFault.NAMED, ServerFault.ABSENT))
 #: How many instances have to tell what they have seen themselves.
 _WITNESSES = 2
 #: How long such a word waits for another's, in seconds.
@@ -32,28 +32,28 @@
 _LONGEST_HEARD_S = 6.0
 
 
-class Sighting(NamedTuple):
+class FaultReport(NamedTuple):
     """A server's trouble, and how long its witness leaves it alone.
 
     .. versionadded:: 26.1.0
     """
 
     server_id: str
-    trouble: Trouble
-    rest_s: float
+    trouble: ServerFault
+    cooldown_s: float
     #: Which start of the server had it; 0 where it tells none.
     started_ms: int = 0
 
 
-def is_worth_telling(trouble: Trouble) -> bool:
+def should_broadcast(trouble: ServerFault) -> bool:
     """Tell whether others should hear of a trouble.
 
     .. versionadded:: 26.1.0
     """
-    return trouble in _TOLD or trouble in (Trouble.SILENT, Trouble.LEAVING)
+    return trouble in _TOLD or trouble in (ServerFault.SILENT, ServerFault.LEAVING)
 
 
-class Hearsay:
+class FaultReportReceiver:
     """What an instance makes of others' sightings.
 
     Args:
@@ -69,7 +69,7 @@
         self,
         health: RunnerHealth,
         *,
-        on_leaving: Callable[[Sighting], bool] = lambda _sighting: False,
+        on_leaving: Callable[[FaultReport], bool] = lambda _sighting: False,
         rng: random.Random,
     ) -> None:
         self._health = health
@@ -78,17 +78,17 @@
         #: By server, who has told of its silence, and when.
         self._words: dict[str, dict[str, float]] = {}
 
-    def heard(self, sighting: Sighting, *, witness: str, now_s: float) -> bool:
+    def receive(self, sighting: FaultReport, *, witness: str, now_s: float) -> bool:
         """Take a sighting in; tell whether the server is left alone for it."""
-        if sighting.trouble is Trouble.LEAVING:
+        if sighting.trouble is ServerFault.LEAVING:
             return self._on_leaving(sighting)
         if sighting.trouble not in _TOLD and not self._is_confirmed(
             sighting.server_id, witness, now_s
         ):
             return False
-        rest_s = min(_LONGEST_HEARD_S, max(0.0, sighting.rest_s))
+        rest_s = min(_LONGEST_HEARD_S, max(0.0, sighting.cooldown_s))
         rest_s *= 1.0 + self._rng.uniform(0.0, _SPREAD_PART)
-        return self._health.rest(
+        return self._health.start_cooldown(
             sighting.server_id, sighting.trouble, rest_s, now_s=now_s
         )
 
--- a/src/violethatch/forwarding/_call.py
+++ b/src/violethatch/forwarding/_call.py
@@ -272,7 +272,7 @@
     def _failure(self) -> VioletHatchError:
         """Return the error of a call that may have run."""
         if deadlines.is_over(self._deadline_s):
-            limit = self._call.limit_name(self._route.timeout_s)
+            limit = self._call.deadline_source(self._route.timeout_s)
             return DeadlineError(f"no answer before the deadline: {limit}")
         if self._route.kind is CallKind.STREAM:
             return PipelineFailedError("the answer of another instance was lost")
--- a/src/violethatch/forwarding/_link_watch.py
+++ b/src/violethatch/forwarding/_link_watch.py
@@ -15,7 +15,7 @@
 
 from .. import clocks, events, running_time
 from .._listed import BackendServer
-from ..upstream import Reached
+from ..upstream import ReachOutcome
 from ._links import (
     CHECKED_SERVERS,
     LinkCheck,
@@ -37,7 +37,7 @@
 class ServerProbe(Protocol):
     """Asks servers whether they are there."""
 
-    async def reach(self, server: BackendServer) -> Reached:
+    async def reach(self, server: BackendServer) -> ReachOutcome:
         """Ask a server over a new connection; any answer will do."""
 
 
@@ -222,24 +222,24 @@
         self, servers: Sequence[BackendServer], *, is_one_enough: bool = True
     ) -> LinkCheck:
         """Ask servers at once."""
-        found: defaultdict[Reached, list[str]] = defaultdict(list)
+        found: defaultdict[ReachOutcome, list[str]] = defaultdict(list)
         asked = [asyncio.create_task(self._reach(one)) for one in servers]
         try:
             for next_done in asyncio.as_completed(asked):
                 server_id, reached = await next_done
                 found[reached].append(server_id)
-                if reached is Reached.ANSWERED and is_one_enough:
+                if reached is ReachOutcome.ANSWERED and is_one_enough:
                     break
         finally:
             for task in asked:
                 task.cancel()
         return LinkCheck(
-            answered=tuple(found[Reached.ANSWERED]),
-            silent=tuple(found[Reached.SILENT]),
-            unclear=tuple(found[Reached.CONNECTED]),
+            answered=tuple(found[ReachOutcome.ANSWERED]),
+            silent=tuple(found[ReachOutcome.SILENT]),
+            unclear=tuple(found[ReachOutcome.CONNECTED]),
         )
 
-    async def _reach(self, server: BackendServer) -> tuple[str, Reached]:
+    async def _reach(self, server: BackendServer) -> tuple[str, ReachOutcome]:
         """Ask one server; return its id beside what that came to."""
         return server.id, await self._probe.reach(server)
 
--- a/src/violethatch/placement.py
+++ b/src/violethatch/placement.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection, Mapping, Sequence
 
 from ._chains import group_by_zone
-from ._hosts import Host, with_orders
+from ._hosts import Host, apply_orders
 from ._layer_needs import copied_layers, holders_by_layer, lacking_layers
 from ._spare_layers import widened
 from ._tiers import tiered_chains
@@ -58,9 +58,9 @@
     orders = _fill_empty(known, engine, copying=copying)
     orders |= _move_copies(known, orders, engine, is_whole=True)
     if is_repairing:
-        orders |= stretch_zones(with_orders(known, orders), engine)
+        orders |= stretch_zones(apply_orders(known, orders), engine)
         orders |= _move_copies(known, orders, engine, is_whole=False)
-        orders |= divide_zones(with_orders(known, orders), engine)
+        orders |= divide_zones(apply_orders(known, orders), engine)
     return orders
 
 
@@ -120,7 +120,7 @@
         is_whole: Whether one other runner has to hold all that a runner gives up.
             Where several do, paths get longer and copies fewer.
     """
-    held = with_orders(hosts, orders)
+    held = apply_orders(hosts, orders)
     holders = holders_by_layer(held, engine)
     moves: dict[str, LayerRange] = {}
     for host in held:
--- a/src/violethatch/platform/_runners.py
+++ b/src/violethatch/platform/_runners.py
@@ -34,11 +34,11 @@
     NotSentError,
     OrderAnswer,
     OrderOutcome,
-    Reached,
+    ReachOutcome,
     Refusal,
     RunnerReport,
     Send,
-    Sending,
+    SendKind,
     ServerLoad,
     ServerSignals,
 )
@@ -164,11 +164,11 @@
             AnswerLostError: It may have run.
         """
         call = send.call
-        session = self._fresh if send.is_connection_fresh else self._kept
+        session = self._fresh if send.needs_new_connection else self._kept
         url = yarl.URL(f"http://{send.server.address}{call.target}", encoded=True)
         try:
             async with self._gated(
-                send.server, Sending.CALL, call.id, priority=send.priority
+                send.server, SendKind.CALL, call.id, priority=send.priority
             ) as sent:
                 answer = await session.request(
                     call.method,
@@ -199,7 +199,7 @@
     async def _gated(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str = "",
         *,
         priority: int = 0,
@@ -218,7 +218,7 @@
             with send_check(sent.check, before_write=sent.write):
                 yield sent
         finally:
-            gate.settle(server, permit, was_written=sent.was_written)
+            gate.release_permit(server, permit, was_written=sent.was_written)
 
     def _hear(
         self,
@@ -259,28 +259,28 @@
         writer.transport.abort()
         return False
 
-    async def reach(self, server: BackendServer, *, health_path: str) -> Reached:
+    async def reach(self, server: BackendServer, *, health_path: str) -> ReachOutcome:
         """Ask a server over a new connection; any answer will do."""
         path = _REPORT_PATH if server.kind else health_path
         if not path:
             is_connected = await self._connects(server)
-            return Reached.ANSWERED if is_connected else Reached.SILENT
+            return ReachOutcome.ANSWERED if is_connected else ReachOutcome.SILENT
         url = yarl.URL(f"http://{server.address}{path}", encoded=True)
         try:
             async with (
-                self._gated(server, Sending.REPORT) as sent,
+                self._gated(server, SendKind.REPORT) as sent,
                 running_time.timeout(_REPORT_S),
                 self._fresh.get(url, allow_redirects=False) as answer,
             ):
                 self._hear(server, answer, sent)
         except KeptBackError:
-            return Reached.UNASKED
+            return ReachOutcome.UNASKED
         except TimeoutError:
             is_busy = not server.kind and sent.was_written
-            return Reached.CONNECTED if is_busy else Reached.SILENT
+            return ReachOutcome.CONNECTED if is_busy else ReachOutcome.SILENT
         except CALL_ERRORS:
-            return Reached.SILENT
-        return Reached.ANSWERED
+            return ReachOutcome.SILENT
+        return ReachOutcome.ANSWERED
 
     async def _connects(self, server: BackendServer) -> bool:
         """Tell whether a server takes a connection."""
@@ -319,7 +319,7 @@
         url = f"http://{server.address}{_REPORT_PATH}"
         try:
             async with (
-                self._gated(server, Sending.REPORT) as sent,
+                self._gated(server, SendKind.REPORT) as sent,
                 running_time.timeout(_REPORT_S),
                 session.get(url) as answer,
             ):
@@ -334,7 +334,7 @@
     ) -> OrderAnswer:
         """Order a running call onto another path with the same first runner."""
         order = {"op": "repath", "Id": call_id, "Path": _headers.path_header(path)}
-        return await self._order(server, order, Sending.MOVE, call_id)
+        return await self._order(server, order, SendKind.MOVE, call_id)
 
     async def place(
         self,
@@ -353,13 +353,13 @@
             "fence": fence,
             "ExpectedRevision": expected_sequence,
         }
-        return await self._order(server, order, Sending.ORDER)
+        return await self._order(server, order, SendKind.ORDER)
 
     async def _order(
         self,
         server: BackendServer,
         order: dict[str, Any],
-        sending: Sending,
+        sending: SendKind,
         request_id: str = "",
     ) -> OrderAnswer:
         """Give an order; tell what came of it."""
--- a/src/violethatch/platform/_store.py
+++ b/src/violethatch/platform/_store.py
@@ -263,7 +263,7 @@
 
     def _note_lost(self, call: str) -> None:
         """Count a call whose answer was lost; use no idle connection for a while."""
-        self._connections.note_lost()
+        self._connections.record_lost_response()
         self._metrics.store_calls.inc({"call": call, "outcome": "lost"})
 
     def _unavailable(self, call: str, reason: str) -> TableUnavailableError:
--- a/src/violethatch/platform/_words.py
+++ b/src/violethatch/platform/_words.py
@@ -11,7 +11,7 @@
 
 from .. import clocks
 from ..limit_header import MAX_LIMIT_PER_S, ParsedLimit, parse_limit
-from ..retry_after import RetryAfter, read_retry_after
+from ..retry_after import RetryAfter, parse_retry_after
 from ..upstream import ServerSignals
 from . import _headers
 
@@ -36,23 +36,23 @@
     headers = answer.headers
     asked = RetryAfter()
     if answer.status in _TURNED_AWAY:
-        asked = read_retry_after(
+        asked = parse_retry_after(
             headers.getall(_headers.RETRY_AFTER, ()),
             server_time=headers.get("Date"),
             wall_s=clocks.wall_s(),
         )
     leaving = [value.strip() for value in headers.getall(_headers.LEAVING, ())]
     limit = parse_limit(headers.getall(_headers.LIMIT, ()))
-    is_cut = [f"{asked.length_s:g} s at the most"] if asked.is_cut else []
+    is_cut = [f"{asked.length_s:g} s at the most"] if asked.exceeds_max else []
     unread = [
-        *filter(None, (asked.unread,)),
+        *filter(None, (asked.invalid,)),
         *is_cut,
         *_unread_leaving(leaving),
         *_unread_limit(limit),
     ]
     return ServerSignals(
         status=answer.status,
-        backoff_s=asked.length_s,
+        backoff_s=asked.delay_s,
         is_binding=answer.status == _UNAVAILABLE,
         is_leaving=_IS_LEAVING in leaving,
         limit_per_s=_limit_a_s(limit, answer.status),
--- a/src/violethatch/retry_after.py
+++ b/src/violethatch/retry_after.py
@@ -20,7 +20,7 @@
 #: The longest time that is kept, in seconds.  A server that wants more is one to look
 #: after by hand: a day covers what is planned, and a figure beyond it (a time of day,
 #: microseconds) is a mistake that would leave a sound server alone for good.
-LONGEST_S = 86_400.0
+MAX_RETRY_AFTER_S = 86_400.0
 #: The longest figure that is read, in characters: a date has 29.
 _MOST_CHARACTERS = 64
 _NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
@@ -37,12 +37,12 @@
     .. versionadded:: 26.5.0
     """
 
-    length_s: float | None = None
-    unread: str = ""
-    is_cut: bool = False
+    delay_s: float | None = None
+    invalid: str = ""
+    exceeds_max: bool = False
 
 
-def read_retry_after(
+def parse_retry_after(
     values: Iterable[str], *, server_time: str | None, wall_s: float
 ) -> RetryAfter:
     """Read an answer's figures; of several the longest counts.
@@ -67,7 +67,9 @@
     if not lengths_s:
         return RetryAfter(None, unread)
     longest_s = max(lengths_s)
-    return RetryAfter(min(LONGEST_S, longest_s), unread, longest_s > LONGEST_S)
+    return RetryAfter(
+        min(MAX_RETRY_AFTER_S, longest_s), unread, longest_s > MAX_RETRY_AFTER_S
+    )
 
 
 def _parts(value: str) -> list[str]:
--- a/src/violethatch/runner_health.py
+++ b/src/violethatch/runner_health.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 
-class Trouble(enum.StrEnum):
+class ServerFault(enum.StrEnum):
     """What was seen of a server.
 
     .. versionadded:: 26.1.0
@@ -34,9 +34,9 @@
 
 #: The troubles that say little of how long they last: such a server is still used
 #: where there is no other.
-_MILD = frozenset((Trouble.FULL, Trouble.ABSENT))
+_MILD = frozenset((ServerFault.FULL, ServerFault.ABSENT))
 #: The troubles that lost links show as.
-_OF_LINKS = frozenset((Trouble.SILENT, Trouble.FAILED))
+_OF_LINKS = frozenset((ServerFault.SILENT, ServerFault.FAILED))
 _SERVER_ERROR = 500
 #: A server's own word that the call's time was over, which says nothing of itself.
 _TIME_OVER = 504
@@ -55,7 +55,7 @@
 class _Rest(NamedTuple):
     """A server's rest."""
 
-    trouble: Trouble
+    trouble: ServerFault
     until_s: float
     length_s: float
     noted_s: float
@@ -75,7 +75,9 @@
         self.stall_s = stall_s
         self._rests: dict[str, _Rest] = {}
 
-    def note(self, server_id: str, trouble: Trouble, *, now_s: float) -> float | None:
+    def record_fault(
+        self, server_id: str, trouble: ServerFault, *, now_s: float
+    ) -> float | None:
         """Note trouble with a server.
 
         Returns:
@@ -86,7 +88,7 @@
         known = self._rests.get(server_id)
         if _outweighs(known, trouble, now_s=now_s):
             return None
-        if known is not None and trouble is not Trouble.FULL:
+        if known is not None and trouble is not ServerFault.FULL:
             if now_s < known.until_s and known.trouble is trouble:
                 return None  # the same trouble, seen by another request
             length_s = min(
@@ -97,8 +99,8 @@
         self._rests[server_id] = _Rest(trouble, now_s + length_s, length_s, now_s)
         return length_s
 
-    def rest(
-        self, server_id: str, trouble: Trouble, length_s: float, *, now_s: float
+    def start_cooldown(
+        self, server_id: str, trouble: ServerFault, length_s: float, *, now_s: float
     ) -> bool:
         """Leave a server alone on another's word; tell whether that is longer."""
         known = self._rests.get(server_id)
@@ -111,7 +113,7 @@
         self._rests[server_id] = _Rest(trouble, now_s + length_s, known_s, now_s)
         return True
 
-    def rests_s(self, *, now_s: float) -> dict[str, float]:
+    def cooldowns_s(self, *, now_s: float) -> dict[str, float]:
         """Return, by server that is left alone, for how much longer, in seconds."""
         return {
             server_id: rest.until_s - now_s
@@ -119,35 +121,35 @@
             if now_s < rest.until_s
         }
 
-    def silent(self, *, now_s: float) -> dict[str, float]:
+    def silent_cooldowns_s(self, *, now_s: float) -> dict[str, float]:
         """Return the silent servers that rest, and for how much longer, in seconds."""
         return {
             server_id: left_s
-            for server_id, left_s in self.rests_s(now_s=now_s).items()
-            if self._rests[server_id].trouble is Trouble.SILENT
+            for server_id, left_s in self.cooldowns_s(now_s=now_s).items()
+            if self._rests[server_id].trouble is ServerFault.SILENT
         }
 
-    def prolong(self, server_id: str, *, now_s: float) -> None:
+    def extend_cooldown(self, server_id: str, *, now_s: float) -> None:
         """Let a silent server rest for as long again: it was asked in vain."""
         known = self._rests.get(server_id)
-        if known is not None and known.trouble is Trouble.SILENT:
+        if known is not None and known.trouble is ServerFault.SILENT:
             until_s = max(known.until_s, now_s + self.stall_s)
             self._rests[server_id] = known._replace(until_s=until_s)
 
-    def worked(self, server_id: str) -> None:
+    def record_success(self, server_id: str) -> None:
         """Note that a server did its work."""
         self._rests.pop(server_id, None)
 
-    def is_resting(self, server_id: str, *, now_s: float) -> bool:
+    def is_in_cooldown(self, server_id: str, *, now_s: float) -> bool:
         """Tell whether a server is left alone now."""
         rest = self._rests.get(server_id)
         return rest is not None and now_s < rest.until_s
 
-    def resting(self, *, now_s: float) -> frozenset[str]:
+    def in_cooldown(self, *, now_s: float) -> frozenset[str]:
         """Return all servers that are left alone now."""
-        return frozenset(self.rests_s(now_s=now_s))
+        return frozenset(self.cooldowns_s(now_s=now_s))
 
-    def shunned(self, *, now_s: float) -> frozenset[str]:
+    def excluded(self, *, now_s: float) -> frozenset[str]:
         """Return the servers not to use even where there is no other."""
         return frozenset(
             server_id
@@ -155,7 +157,7 @@
             if now_s < rest.until_s and rest.trouble not in _MILD
         )
 
-    def forget_since(self, server_id: str, since_s: float) -> None:
+    def forget_recent(self, server_id: str, since_s: float) -> None:
         """Forget what this instance's own links may be the reason for.
 
         Args:
@@ -171,18 +173,18 @@
         """Forget a server that is no longer listed."""
         self._rests.pop(server_id, None)
 
-    def _first_rest_s(self, trouble: Trouble) -> float:
+    def _first_rest_s(self, trouble: ServerFault) -> float:
         """Return how long a server is left alone at first, in seconds."""
         if trouble in _MILD:
             return _FULL_REST_S
-        return _FAILED_REST_S if trouble is Trouble.FAILED else self.stall_s
+        return _FAILED_REST_S if trouble is ServerFault.FAILED else self.stall_s
 
-    def _longest_rest_s(self, trouble: Trouble) -> float:
+    def _longest_rest_s(self, trouble: ServerFault) -> float:
         """Return how long repeated trouble lets a server rest at most."""
         return self.stall_s if trouble in _MILD else _LONGEST_REST_S
 
 
-def tells_of_server(status: int) -> bool:
+def is_server_failure(status: int) -> bool:
     """Tell whether an answer's status says that its server fails.
 
     Others speak of the call: its path, its size, its time.
@@ -192,7 +194,7 @@
     return status >= _SERVER_ERROR and status != _TIME_OVER
 
 
-def _outweighs(known: _Rest | None, trouble: Trouble, *, now_s: float) -> bool:
+def _outweighs(known: _Rest | None, trouble: ServerFault, *, now_s: float) -> bool:
     """Tell whether a rest that lasts says more than a further trouble."""
     if known is None or now_s >= known.until_s:
         return False
--- a/src/violethatch/runner_paces.py
+++ b/src/violethatch/slow_runners.py
@@ -29,7 +29,7 @@
     told_s: float
 
 
-class RunnerPaces:
+class SlowRunners:
     """What runners that are slow have said of themselves.
 
     .. versionadded:: 26.2.0
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._words: dict[str, _Word] = {}
 
-    def note(self, server_id: str, slowness: float, *, now_s: float) -> None:
+    def record(self, server_id: str, slowness: float, *, now_s: float) -> None:
         """Take a runner's word in.
 
         Args:
@@ -59,7 +59,9 @@
             if now_s - word.told_s < _WORD_LIFE_S
         }
 
-    def due(self, *, instances: int, rng: random.Random, now_s: float) -> list[str]:
+    def due_for_probe(
+        self, *, instances: int, rng: random.Random, now_s: float
+    ) -> list[str]:
         """Return the slow runners that this instance has to ask again.
 
         Args:
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -30,7 +30,7 @@
 from ..event_stream import SpoiltStreamError
 from ..forwarding import ForwardedCall, MustForwardError
 from ..paths import Path
-from ..runner_health import Trouble, tells_of_server
+from ..runner_health import ServerFault, is_server_failure
 from ..store_era import UNREAD
 from ..suspicion import WorkInHand
 from ..upstream import (
@@ -43,7 +43,7 @@
     Refusal,
     Responder,
     Send,
-    tell_nobody,
+    ignore_sends,
 )
 from ._forwarded_run import ForwardedRun
 from ._live_runs import LiveRun, LiveRuns, RunEnd, RunOutcome
@@ -76,7 +76,7 @@
         *,
         runs: int = 0,
         forward: Callable[[StreamCall], ForwardedCall] | None = None,
-        on_send: OnSend = tell_nobody,
+        on_send: OnSend = ignore_sends,
     ) -> None:
         self._on_send = on_send
         self._forward = forward or _forward_to_nobody
@@ -370,7 +370,7 @@
             workspace=self._admitted.workspace_name,
             last_event_id=self.output.progress.last_id,
             # The first run may have been lost with a connection that had rested.
-            is_connection_fresh=not self._route.is_resumable
+            needs_new_connection=not self._route.is_resumable
             or self.runs > 0
             or bool(self._live),
         )
@@ -470,7 +470,7 @@
         run.is_whole = True
         self._live.keep_only(run)
         for server_id in run.path.server_ids:
-            self._routing.health.worked(server_id)
+            self._routing.health.record_success(server_id)
         self._work.answered()
         self._routing.loads.lasted(clocks.now_s() - self._call.received_s)
         await responder.finish()
@@ -493,10 +493,10 @@
             status=answer.status,
         )
         self._avoided |= {run.path.first.id}
-        if tells_of_server(answer.status):
+        if is_server_failure(answer.status):
             self._routing.note_trouble(
                 run.path.first,
-                Trouble.FAILED,
+                ServerFault.FAILED,
                 self._call.id,
                 f"answered {answer.status}",
             )
@@ -521,7 +521,11 @@
             self.runs += 1
 
     def _leave_first(
-        self, server: BackendServer, reason: str, *, trouble: Trouble = Trouble.SILENT
+        self,
+        server: BackendServer,
+        reason: str,
+        *,
+        trouble: ServerFault = ServerFault.SILENT,
     ) -> None:
         """Leave a first runner alone that gave no answer."""
         self._avoided |= {server.id}
--- a/src/violethatch/streams/_check.py
+++ b/src/violethatch/streams/_check.py
@@ -10,12 +10,12 @@
 from typing import NamedTuple
 
 from .. import clocks, events
-from .._probes import Findings
+from .._probes import ProbeResults
 from .._routing import Routing
 from ..backends import BackendServer
 from ..desired import ServiceSpec
 from ..paths import Path
-from ..runner_health import Trouble
+from ..runner_health import ServerFault
 from ..suspicion import WorkInHand
 from ..upstream import RunnerReport
 from .silent_runs import Finding
@@ -97,8 +97,8 @@
             return Verdict(Finding.NOTHING)
         first = silence.path.first
         asked = [first, *(one for one in suspected if one.id != first.id)]
-        found = await self._routing.probes.look(
-            asked, within_s=self._routing.settings.policy.probe_limit_s
+        found = await self._routing.probes.probe(
+            asked, timeout_s=self._routing.settings.policy.probe_limit_s
         )
         restarted = self._restarted_since(asked, found.reports)
         self._log(silence, asked, found, restarted)
@@ -131,7 +131,9 @@
             stage.server.id for stage in path.stages[1:] if stage.server.id in slow
         )
 
-    async def _verdict_of_reports(self, silence: Silence, found: Findings) -> Verdict:
+    async def _verdict_of_reports(
+        self, silence: Silence, found: ProbeResults
+    ) -> Verdict:
         """Return the verdict where all runners that were asked have answered."""
         first = silence.path.first
         report = found.reports.get(first.id)
@@ -140,7 +142,7 @@
         named = silence.path.server_at(report.stalled.get(self._call_id))
         if named is not None:
             self._routing.note_trouble(
-                named, Trouble.NAMED, self._call_id, "a request waits for it"
+                named, ServerFault.NAMED, self._call_id, "a request waits for it"
             )
             return await self.blame(silence, [named])
         if self._is_lost(silence, report, found.reports.values()):
@@ -193,7 +195,7 @@
 
         A request that has not begun is not told as one that waits.
         """
-        shunned = self._routing.health.shunned(now_s=clocks.now_s())
+        shunned = self._routing.health.excluded(now_s=clocks.now_s())
         later = [stage.server for stage in path.stages[1:]]
         return [one for one in later if one.id in shunned]
 
@@ -230,7 +232,7 @@
         self,
         silence: Silence,
         asked: list[BackendServer],
-        found: Findings,
+        found: ProbeResults,
         restarted: list[BackendServer],
     ) -> None:
         """Log who was asked about a silence, and what each has told."""
--- a/src/violethatch/streams/_run.py
+++ b/src/violethatch/streams/_run.py
@@ -16,7 +16,7 @@
 from .._routing import Routing
 from ..desired import ServiceSpec
 from ..paths import Path
-from ..runner_health import Trouble
+from ..runner_health import ServerFault
 from ..suspicion import WorkInHand
 from ..upstream import Answer, OrderOutcome, Send
 from ._check import Silence, SilenceCheck, Verdict
@@ -390,7 +390,7 @@
                 outcome=order.outcome.value,
                 path=[stage.server.id for stage in path.stages],
             )
-            if order.is_taken:
+            if order.is_accepted:
                 self._move_to(path)
                 self.moves += 1
                 return True
@@ -399,7 +399,7 @@
                 return False
             # Others' streams would ask for the same path in the same moment.
             self._routing.note_trouble(
-                obstacle, Trouble.ABSENT, self._call.id, "in the way of a move"
+                obstacle, ServerFault.ABSENT, self._call.id, "in the way of a move"
             )
             self.suspects |= {obstacle.id}
         return False
--- a/src/violethatch/suspicion/_work.py
+++ b/src/violethatch/suspicion/_work.py
@@ -13,7 +13,7 @@
 from ..backends import BackendServer
 from ..errors import HeldBackError
 from ..router_settings import RouterSettings
-from ..runner_health import Trouble
+from ..runner_health import ServerFault
 from ..upstream import Call, ConnectionBrokenError
 from ..work_ids import is_part, part_id, part_of
 from ._server_ends import ServerEnds
@@ -209,17 +209,17 @@
 
     async def trouble_of(
         self, error: Exception, server: BackendServer, *, has_begun: bool
-    ) -> Trouble:
+    ) -> ServerFault:
         """Return what an answer that was lost says of its server.
 
         One that has ended is left alone as a silent one is: else it was sent to again
         as soon as one that has failed once, and refused a connection.
         """
         if not isinstance(error, ConnectionBrokenError):
-            return Trouble.FAILED
+            return ServerFault.FAILED
         self._routing.link_watch.suspect(server)
         has_ended = await self.lost(server, has_begun=has_begun)
-        return Trouble.SILENT if has_ended else Trouble.FAILED
+        return ServerFault.SILENT if has_ended else ServerFault.FAILED
 
     async def lost(self, server: BackendServer, *, has_begun: bool) -> bool:
         """Note that a server broke the call off; tell whether the server has ended.
--- a/src/violethatch/upstream.py
+++ b/src/violethatch/upstream.py
@@ -74,7 +74,7 @@
         """Return until when the call may take, in monotonic seconds."""
         return min(self.deadline_s, self.received_s + timeout_s)
 
-    def limit_name(self, timeout_s: float) -> str:
+    def deadline_source(self, timeout_s: float) -> str:
         """Return what ends the call's time: the route's timeout, or its caller."""
         if self.deadline_s < self.received_s + timeout_s - _WAY_S:
             return "the caller's time limit"
@@ -93,10 +93,10 @@
     last_event_id: int | None
     #: Whether to use no connection that rested: its close would leave open
     #: whether the call has run.
-    is_connection_fresh: bool
+    needs_new_connection: bool
 
 
-class Reached(enum.Enum):
+class ReachOutcome(enum.Enum):
     """What asking a server over a new connection came to."""
 
     ANSWERED = "answered"
@@ -111,7 +111,7 @@
     """The server could not be connected to: nothing has run."""
 
 
-class Sending(enum.StrEnum):
+class SendKind(enum.StrEnum):
     """What is written to a server."""
 
     CALL = "call"
@@ -141,7 +141,7 @@
 OnSend = Callable[[int], Awaitable[None]]
 
 
-async def tell_nobody(_sends: int) -> None:
+async def ignore_sends(_sends: int) -> None:
     """Stand in for an `OnSend` where nobody wants to know."""
 
 
@@ -215,7 +215,7 @@
     async def admit(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
         *,
         priority: int = 0,
@@ -238,7 +238,7 @@
     def check_send(
         self,
         server: BackendServer,
-        sending: Sending,
+        sending: SendKind,
         request_id: str,
         permit: Permit | None = None,
     ) -> None:
@@ -254,7 +254,7 @@
             KeptBackError: It may not.
         """
 
-    def settle(
+    def release_permit(
         self, server: BackendServer, permit: Permit | None, *, was_written: bool
     ) -> None:
         """Use a permit up, or keep it for another send if nothing was written."""
@@ -277,7 +277,7 @@
     async def admit(
         self,
         _server: BackendServer,
-        _sending: Sending,
+        _sending: SendKind,
         _request_id: str,
         *,
         priority: int = 0,
@@ -288,13 +288,13 @@
     def check_send(
         self,
         _server: BackendServer,
-        _sending: Sending,
+        _sending: SendKind,
         _request_id: str,
         _permit: Permit | None = None,
     ) -> None:
         """Let everything through."""
 
-    def settle(
+    def release_permit(
         self, _server: BackendServer, _permit: Permit | None, *, was_written: bool
     ) -> None:
         """Keep no permits."""
@@ -376,7 +376,7 @@
     address: str | None = None
 
     @property
-    def is_taken(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether the runner carries the order out, or has done so."""
         return self.outcome in (OrderOutcome.DONE, OrderOutcome.BEGUN)
 
@@ -430,7 +430,7 @@
     async def is_refusing(self, server: BackendServer) -> bool:
         """Tell whether a server refuses connections: nobody listens there."""
 
-    async def reach(self, server: BackendServer, *, health_path: str) -> Reached:
+    async def reach(self, server: BackendServer, *, health_path: str) -> ReachOutcome:
         """Ask a server over a new connection; any answer will do.
 
         Args:
--- a/tests/mortal_fleet.py
+++ b/tests/mortal_fleet.py
@@ -33,7 +33,7 @@
     NotSentError,
     OrderAnswer,
     OrderOutcome,
-    Reached,
+    ReachOutcome,
     TableView,
 )
 
@@ -181,7 +181,7 @@
 
     async def reach(self, server, *, health_path):
         await asyncio.sleep(0.002)
-        return Reached.ANSWERED if server.id in self.by_id else Reached.SILENT
+        return ReachOutcome.ANSWERED if server.id in self.by_id else ReachOutcome.SILENT
 
     async def report(self, server):
         return report() if server.id in self.by_id else None
--- a/tests/router_fakes.py
+++ b/tests/router_fakes.py
@@ -16,7 +16,7 @@
     ConnectionBrokenError,
     OrderAnswer,
     OrderOutcome,
-    Reached,
+    ReachOutcome,
     Refusal,
     RunnerReport,
 )
@@ -121,7 +121,9 @@
         return server.id in self.refusing
 
     async def reach(self, server, *, health_path):
-        return Reached.SILENT if server.id in self.refusing else Reached.ANSWERED
+        return (
+            ReachOutcome.SILENT if server.id in self.refusing else ReachOutcome.ANSWERED
+        )
 
     async def report(self, server):
         return self.reports.get(server.id)
@@ -184,7 +186,7 @@
 def make_routing(client, *servers, rng, **policy):
     """Return the views that calls share, with servers listed."""
     routing = Routing(settings(**policy), client, rng)
-    routing.backends.change(servers, [], now_s=clocks.now_s())
+    routing.backends.apply_changes(servers, [], now_s=clocks.now_s())
     return routing
 
 
--- a/tests/asking_servers.py
+++ b/tests/signaling_servers.py
@@ -35,7 +35,7 @@
 #: The bound on work for a server that is leaving, in seconds.
 LEAVING_S = 0.3
 #: Sends that wait for a connection are waited for.
-PATIENT = {
+LONG_LIMITS = {
     "first_event_limit_s": "1.0",
     "gap_limit_s": "1.0",
     "silence_limit_s": "1.0",
@@ -46,12 +46,12 @@
 
 #: From when on nothing is to come within a rest, in seconds: what was on its way when
 #: the word came has arrived by then, and what servers allow ends there.
-UNDER_WAY_S = 0.5
+IN_FLIGHT_S = 0.5
 #: Below this, in seconds, a wake-up is not late: timers of a busy machine.
-LEAST_HOLD_S = 0.01
+MIN_STALL_S = 0.01
 
 
-class Lag:
+class LoopLag:
     """How late the loop is, at the most: servers and instances of a test share it."""
 
     def __init__(self):
@@ -59,12 +59,12 @@
         #: From when until when it stood still.
         self._holds = []
 
-    def held_s(self, from_s, until_s):
+    def stalled_s(self, from_s, until_s):
         """Return for how long it stood still between two times: holds add up."""
         parts = [min(end, until_s) - max(begin, from_s) for begin, end in self._holds]
         return sum(part for part in parts if part > 0.0)
 
-    def standstills(self, *, least_s, within_s):
+    def stalls(self, *, least_s, within_s):
         """Return from when until when it stood still for so long in all within a time.
 
         Short holds in a row delay what takes several turns of the loop.
@@ -78,7 +78,7 @@
                 found.append((row[0][0], until_s))
         return found
 
-    def last_hold_s(self, *, least_s):
+    def last_stall_end_s(self, *, least_s):
         """Return when the last hold of at least *least_s* ended; -inf without one."""
         ends = [end for begin, end in self._holds if end - begin >= least_s]
         return max(ends, default=-math.inf)
@@ -91,14 +91,14 @@
             now_s = clocks.now_s()
             late_s = now_s - before_s - 0.01
             self.most_s = max(self.most_s, late_s)
-            if late_s >= LEAST_HOLD_S:
+            if late_s >= MIN_STALL_S:
                 self._holds.append((now_s - late_s, now_s))
 
 
 @contextlib.asynccontextmanager
-async def watched_lag():
+async def measure_loop_lag():
     """Provide how late the loop was meanwhile."""
-    lag = Lag()
+    lag = LoopLag()
     watching = asyncio.create_task(lag.watch())
     try:
         yield lag
@@ -106,7 +106,7 @@
         watching.cancel()
 
 
-class AskingServer:
+class SignalingServer:
     """A stand-in of a server, from the users' pages; it notes what reaches it.
 
     Args:
@@ -116,7 +116,7 @@
     def __init__(self, listed):
         self.listed = listed
         #: How requests are turned away: the figure of the rest, or None to run them.
-        self.asks_for = None
+        self.retry_after = None
         self.is_leaving = False
         #: How many requests a second it takes from all, as its answers name it.
         self.limit_a_s = None
@@ -125,7 +125,7 @@
         self.arrived = []
         self._peers = set()
         #: When it first answered with its word.
-        self.said_s = None
+        self.first_signal_s = None
         #: What it has said to which machine, when and in which start of it.
         self.words = []
         self.ran = []
@@ -152,7 +152,7 @@
     def start_again(self, started_ms):
         """Be another start under the same id, which has said nothing yet."""
         self.listed = self.listed._replace(started_ms=started_ms)
-        self.asks_for = None
+        self.retry_after = None
         self.is_leaving = False
         self.limit_a_s = None
 
@@ -174,7 +174,7 @@
         return [at_s for _, at_s in self._arrived(after_s=after_s, until_s=until_s)]
 
     def _arrived(self, *, after_s, until_s):
-        first_s, last_s = self.said_s + after_s, self.said_s + until_s
+        first_s, last_s = self.first_signal_s + after_s, self.first_signal_s + until_s
         return [one for one in self.arrived if first_s <= one[1] < last_s]
 
     def _heads(self, request):
@@ -190,7 +190,7 @@
         """Answer now, and note what is said by it: nobody can know it sooner."""
         now_s = clocks.now_s()
         if heads.keys() & {"Server-Limit", "Server-Leaving", "Retry-After"}:
-            self.said_s = self.said_s or now_s
+            self.first_signal_s = self.first_signal_s or now_s
         machine = heads[ID].partition("-")[0]
         if "Server-Leaving" in heads:
             self.departures.append((machine, now_s, started_ms))
@@ -216,8 +216,8 @@
         self.arrived.append((call_id, clocks.now_s()))
         self.arrivals_by_start.append((*self.arrived[-1], started_ms))
         heads = self._heads(request)
-        if self.asks_for is not None:
-            heads |= {"Violethatch-Not-Executed": "1", "Retry-After": self.asks_for}
+        if self.retry_after is not None:
+            heads |= {"Violethatch-Not-Executed": "1", "Retry-After": self.retry_after}
             return self._answer(heads, started_ms, status=503)
         self.ran.append(call_id)
         await asyncio.sleep(self.work_s())
@@ -226,7 +226,7 @@
         return self._answer(heads, started_ms, body=body)
 
 
-class Machine:
+class RouterInstance:
     """One instance, with connections of its own.
 
     Args:
@@ -240,7 +240,7 @@
         self.kept = make_session(is_kept=True)
         self.fresh = make_session(is_kept=False)
         self.client = Runners(self.kept, self.fresh)
-        made = settings(retry_reserve=200, **PATIENT)
+        made = settings(retry_reserve=200, **LONG_LIMITS)
         bounds = made.bounds._replace(leaving_ms=int(1000 * LEAVING_S))
         self.router = Router(
             made._replace(bounds=bounds),
@@ -270,7 +270,7 @@
             return error
         return responder
 
-    async def keep_asking(self, *, every_s, for_s, path="/draft/1"):
+    async def send_repeatedly(self, *, every_s, for_s, path="/draft/1"):
         """Send requests one after another; return what came of them."""
         end_s = clocks.now_s() + for_s
         tasks = []
@@ -296,7 +296,7 @@
         return value if above is None or value.version > above else None
 
 
-def join_machines(machines, *, seed=1):
+def join_instances(machines, *, seed=1):
     """Let instances tell each other by datagrams; return what carries these."""
     rng = random.Random(seed)
     network = Network(rng)
@@ -307,7 +307,7 @@
     return network
 
 
-def most_within(times_s, span_s):
+def max_within(times_s, span_s):
     """Return the most of some times that lie within any span so long, in seconds."""
     times_s = sorted(times_s)
     first = 0
@@ -332,11 +332,11 @@
 
 
 @contextlib.asynccontextmanager
-async def servers_and_machines(listed, *, machines=1, seed=1):
+async def servers_and_instances(listed, *, machines=1, seed=1):
     """Provide servers that listen, and instances that know them."""
-    servers = [AskingServer(one) for one in listed]
+    servers = [SignalingServer(one) for one in listed]
     await asyncio.gather(*(one.start() for one in servers))
-    made = [Machine(f"m{n}", servers, seed=seed + n) for n in range(machines)]
+    made = [RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(machines)]
     try:
         yield servers, made
     finally:
@@ -344,7 +344,7 @@
         await asyncio.gather(*(one.stop() for one in servers))
 
 
-def first_choice(path):
+def preferred_servers(path):
     """Return entries of three servers, of which the first is preferred for a path."""
     if path.startswith("/label/"):
         return [plain_server("s1"), plain_server("s2", availability_zone="z2")]
--- a/tests/test_admission_failures.py
+++ b/tests/test_admission_failures.py
@@ -29,7 +29,7 @@
 from violethatch.paths import LayerMap
 from violethatch.room import Targets, room
 from violethatch.router_settings import AdmissionMode, AdmissionSection
-from violethatch.upstream import Reached, TableView
+from violethatch.upstream import ReachOutcome, TableView
 
 
 INSTANCES = 4
@@ -113,7 +113,7 @@
         return False
 
     async def reach(self, _server, *, health_path):
-        return Reached.ANSWERED
+        return ReachOutcome.ANSWERED
 
     async def report(self, _server):
         return report()
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -70,7 +70,7 @@
             priority=1,
             workspace=None,
             last_event_id=None,
-            is_connection_fresh=False,
+            needs_new_connection=False,
         )
         with pytest.raises(AnswerLostError, match="268"):
             await runners.send(send)
--- a/tests/test_callers_listener.py
+++ b/tests/test_callers_listener.py
@@ -13,11 +13,11 @@
 import aiohttp
 import pytest
 
-from asking_servers import PLAIN
 from own_ports import free_ports
 from router_fakes import LOST, FakeAnswer, FakeClient, settings
 from router_fakes import events as stream_events
 from routing_samples import call_route, desired_state, plain_server, runner
+from signaling_servers import PLAIN
 from test_platform_process import HEADERS, ID
 from violethatch import clocks, events
 from violethatch._router import Router
@@ -97,7 +97,7 @@
         )
         self.router.desired = desired_state(PLAIN, STREAM)
         servers = [plain_server("s1"), runner("r1", 0, 80)]
-        self.router.routing.backends.change(servers, [], now_s=0.0)
+        self.router.routing.backends.apply_changes(servers, [], now_s=0.0)
         self.router.freshness.proven(clocks.now_s())
         self.listener = CallersListener(self.router)
         (self.port,) = free_ports(1)
--- a/tests/test_change_soak.py
+++ b/tests/test_change_soak.py
@@ -25,8 +25,8 @@
 import aiohttp
 import pytest
 
-from asking_servers import watched_lag
 from own_ports import free_ports
+from signaling_servers import measure_loop_lag
 from test_platform_process import HEADERS, ID, Site
 from test_router_settings import FIELDS, filled_here
 from test_silent_connections import SilentSite
@@ -258,7 +258,7 @@
 
     def _is_quiet(self, instance, at_s):
         """Return whether nothing disturbs an instance, the servers or the store."""
-        is_running = at_s - self.lag.last_hold_s(least_s=STANDSTILL_S) >= CONTACT_S
+        is_running = at_s - self.lag.last_stall_end_s(least_s=STANDSTILL_S) >= CONTACT_S
         is_quiet = instance.disturbances.is_quiet(at_s) and self.store.is_quiet(at_s)
         return is_quiet and is_running
 
@@ -375,7 +375,7 @@
     fleet = Fleet(tmp_path)
     try:
         await fleet.start()
-        async with watched_lag() as lag:
+        async with measure_loop_lag() as lag:
             soak = Soak(fleet, seed, lag)
             faults = await soak.play()
         print(f"seed {seed}: {soak.checked} answers, {len(fleet.states)} states")
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -25,7 +25,7 @@
 from violethatch import clocks
 from violethatch._router import Router
 from violethatch.errors import DeadlineError, UnprovenStateError
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 from violethatch.streams import StreamCall
 
 
@@ -77,7 +77,7 @@
             decoder=None,
             rng=random.Random(1),
         )
-        made.routing.backends.change([A], [], now_s=clocks.now_s())
+        made.routing.backends.apply_changes([A], [], now_s=clocks.now_s())
         made.desired = desired_state()
         made.freshness.proven(clocks.now_s())
         return made
@@ -171,6 +171,6 @@
     async def test_rests_end_while_suspended(self, suspend):
         """Servers are not left alone for longer than was meant."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.health.note("a", Trouble.SILENT, now_s=clocks.now_s())
+        routing.health.record_fault("a", ServerFault.SILENT, now_s=clocks.now_s())
         suspend(3.0)
         assert routing.path(admitted().service) is not None
--- a/tests/test_connection_choice.py
+++ b/tests/test_connection_choice.py
@@ -13,7 +13,7 @@
     monkeypatch.setattr(clocks, "now_s", lambda: now_s)
     choice = ConnectionChoice("kept", "fresh", max_idle_s=4.0)
     assert choice.session == "kept"
-    choice.note_lost()
+    choice.record_lost_response()
     now_s += 3.9
     assert choice.session == "fresh"
     now_s += 0.2
--- a/tests/test_forward_listener.py
+++ b/tests/test_forward_listener.py
@@ -113,7 +113,7 @@
 async def test_stream_that_was_sent_twice_counts_as_one_send(lines, session):
     """The sender had it sent to a third runner, where two are allowed."""
     site = await serving(StreamingClient(0.1, error=AnswerLostError("lost")))
-    site.router.routing.backends.change([runner("r2", 0, 80)], [], now_s=0.0)
+    site.router.routing.backends.apply_changes([runner("r2", 0, 80)], [], now_s=0.0)
     answer = await site.forward(session, "c1", path="/draft/1")
     with pytest.raises(AnswerLostError) as lost:
         async for _ in answer.parts():
--- a/tests/test_limit_link.py
+++ b/tests/test_limit_link.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from asking_servers import most_within
 from mortal_fleet import Network, instance_entries
 from routing_samples import runner
+from signaling_servers import max_within
 from standstill import bytes_that_come
 from violethatch import _limit_link, clocks
 from violethatch._flow_control import FlowController
@@ -37,7 +37,7 @@
         self.own = own
         self.datagrams = network.join(own, entries)
         backends = BackendTable()
-        backends.change([SERVER], [], now_s=clocks.now_s())
+        backends.apply_changes([SERVER], [], now_s=clocks.now_s())
         self.words = FlowController(backends, rng=rng)
         self.flow_control = self.words.limits
         self.is_leaving = False
@@ -208,7 +208,7 @@
         """Then it is one of all."""
         members = Members(2)
         for member in members.all:
-            member.flow_control._backends.change(
+            member.flow_control._backends.apply_changes(
                 [SERVER._replace(availability_zone="z9")], [], now_s=0.0
             )
         members.keeper()
@@ -393,7 +393,7 @@
                         )
 
         await asyncio.gather(*(want(one) for one in members.all))
-        assert most_within(given_s, WINDOW_S) <= WINDOW_S * 4.9
+        assert max_within(given_s, WINDOW_S) <= WINDOW_S * 4.9
         if not lost_part:
             assert len(given_s) >= 0.9 * 4.9 * 2 * WINDOW_S - 2
 
--- a/tests/test_limit_permits.py
+++ b/tests/test_limit_permits.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from asking_servers import most_within
+from signaling_servers import max_within
 from violethatch import limit_permits
 from violethatch.limit_permits import (
     LEAST_A_S,
@@ -88,7 +88,7 @@
 
     def most(self):
         """Return the most that came within any span."""
-        return most_within(sorted(self.sent_s), WINDOW_S)
+        return max_within(sorted(self.sent_s), WINDOW_S)
 
     def used_part(self, per_s, until_s):
         """Return which part of the limit was used."""
@@ -149,7 +149,7 @@
         fell = len(replay.sent_s)
         replay.play(60.0, 0.5)
         after = sorted(replay.sent_s[fell:])
-        assert most_within(after, WINDOW_S) <= WINDOW_S * 0.5
+        assert max_within(after, WINDOW_S) <= WINDOW_S * 0.5
         assert after[0] >= 20.0 + WINDOW_S
 
     @pytest.mark.parametrize("instances", [8, 350])
@@ -180,7 +180,7 @@
         replay = Replay(8, DEMAND_A_S * 8)
         replay.play(120.0, 0.0)
         assert len(replay.sent_s) in (3, 4)
-        assert most_within(sorted(replay.sent_s), 1 / LEAST_A_S) <= 1
+        assert max_within(sorted(replay.sent_s), 1 / LEAST_A_S) <= 1
 
 
 class TestKeeper:
--- a/tests/test_lost_links.py
+++ b/tests/test_lost_links.py
@@ -12,7 +12,6 @@
 
 import pytest
 
-from asking_servers import watched_lag
 from linked_fleet import (
     ONCE_PATH,
     PLAIN_PATH,
@@ -22,6 +21,7 @@
     LinkedFleet,
     Try,
 )
+from signaling_servers import measure_loop_lag
 from test_platform_process import HEADERS, ID, event_ids
 from violethatch import clocks
 
@@ -119,12 +119,12 @@
         one.cut(way)
     names = {one.name for one in cut}
     there, elsewhere = [], []
-    async with watched_lag() as lag:
+    async with measure_loop_lag() as lag:
         await call_all(fleet, path=path, for_s=LOST_S)
         before = [one.waits() for one in fleet.instances]
         for _ in range(MOST_ROUNDS):
             tries = await call_all(fleet, path=path, for_s=CUT_S)
-            standstills = lag.standstills(least_s=STANDSTILL_S, within_s=CHECK_S)
+            standstills = lag.stalls(least_s=STANDSTILL_S, within_s=CHECK_S)
             for one in tries:
                 if not is_disturbed(one, standstills):
                     (there if one.instance in names else elsewhere).append(one)
--- a/tests/test_own_standstills.py
+++ b/tests/test_own_standstills.py
@@ -28,7 +28,7 @@
 from violethatch.paths import Path, Stage
 from violethatch.platform._runners import Runners
 from violethatch.platform._sessions import make_session
-from violethatch.upstream import OrderOutcome, Reached, Send
+from violethatch.upstream import OrderOutcome, ReachOutcome, Send
 
 
 #: After how many turns of the loop it is held up: as a connection opens, as the
@@ -120,7 +120,7 @@
             server.clear()
             until_s = clocks.now_s() + for_s
             found = await held_up(
-                Probes(runners).look([one], within_s=0.04), turns=turns, for_s=for_s
+                Probes(runners).probe([one], timeout_s=0.04), turns=turns, for_s=for_s
             )
             # On a busy machine the server's thread may be late itself.
             return found, server.first_answer_s() < until_s + LOOK_LEFT_S
@@ -144,7 +144,7 @@
             reaching = runners.reach(one, health_path="/health")
             return await held_up(reaching, turns=turns, for_s=0.4)
 
-        assert run(with_runners(work)) is Reached.ANSWERED
+        assert run(with_runners(work)) is ReachOutcome.ANSWERED
 
     def test_server_that_took_a_connection_in_a_standstill_is_silent(
         self, run, server, turns
@@ -156,7 +156,7 @@
             reaching = runners.reach(one, health_path="")
             return await held_up(reaching, turns=turns, for_s=0.4)
 
-        assert run(with_runners(work)) is Reached.ANSWERED
+        assert run(with_runners(work)) is ReachOutcome.ANSWERED
 
     def test_refusal_that_came_in_a_standstill_is_not_known(self, run, turns):
         """Nobody listens, which the loop has not read yet."""
--- a/tests/test_pace_link.py
+++ b/tests/test_pace_link.py
@@ -7,7 +7,7 @@
 from violethatch._pace_link import PaceLink
 from violethatch._peer_datagrams import PaceDatagram, PeerDatagrams
 from violethatch.instances import InstanceDirectory
-from violethatch.runner_paces import RunnerPaces
+from violethatch.slow_runners import SlowRunners
 
 
 class Wire:
@@ -30,12 +30,12 @@
     def test_word_goes_to_all(self):
         """Each other instance is told once."""
         wire = Wire("i0", "i1", "i2")
-        PaceLink(wire, RunnerPaces()).tell("a", 12.0)
+        PaceLink(wire, SlowRunners()).broadcast("a", 12.0)
         assert wire.sent == [("i1", "a", 12.0), ("i2", "a", 12.0)]
 
     def test_word_is_taken(self):
         """A runner that is slow for one instance is slow for all."""
-        paces = RunnerPaces()
+        paces = SlowRunners()
         wire = Wire()
         PaceLink(wire, paces)
         wire.take(PaceDatagram("t", "i1", "a", 12.0))
@@ -44,14 +44,14 @@
     def test_bounded_rate(self):
         """However many runners are slow, the links are not filled."""
         wire = Wire("i1")
-        link = PaceLink(wire, RunnerPaces())
+        link = PaceLink(wire, SlowRunners())
         for n in range(100):
-            link.tell(f"s{n}", 12.0)
+            link.broadcast(f"s{n}", 12.0)
         assert len(wire.sent) <= 10
 
     def test_real_datagrams_carry_it(self):
         """Nothing is lost on the way through the socket's protocol."""
-        paces = RunnerPaces()
+        paces = SlowRunners()
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
         PaceLink(datagrams, paces)
         sent = []
--- a/tests/test_parts_that_end_servers.py
+++ b/tests/test_parts_that_end_servers.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from asking_servers import watched_lag
 from mortal_fleet import DEADLY_PART, ChainServers, Fleet, Servers, model_runner
 from router_fakes import events
+from signaling_servers import measure_loop_lag
 from test_crash_suspects import PART, end, noted
 from test_held_rows import held_rows, written
 from test_registration import FakeStore
@@ -111,7 +111,7 @@
     """Return how many deadly sends came so long after the part could be known."""
     fifth_s = servers.ended_s[ENDS - 1]
     return sum(
-        at_s > fifth_s + known_s + lag.held_s(fifth_s, at_s)
+        at_s > fifth_s + known_s + lag.stalled_s(fifth_s, at_s)
         for at_s in servers.arrived_s
     )
 
@@ -126,7 +126,7 @@
     servers.script = STREAM
     fleet = Fleet(instances, servers, seed=seed)
     traffic = Traffic(fleet, sound_parts=sound_parts, deadly_parts=deadly_parts)
-    async with watched_lag() as lag:
+    async with measure_loop_lag() as lag:
         await traffic.play()
     return servers, traffic, lag
 
@@ -271,7 +271,7 @@
     traffic = Traffic(
         fleet, sound_parts=lambda: ("a", "b"), deadly_parts=("a", DEADLY_PART)
     )
-    async with watched_lag() as lag:
+    async with measure_loop_lag() as lag:
         playing = asyncio.create_task(traffic.play(TURNED_S + CONTACT_S + 3.0))
         await asyncio.sleep(TURNED_S)
         servers.is_mortal = True
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -13,7 +13,7 @@
 from violethatch import _path_choice, clocks
 from violethatch.load_sums import LoadTotals, ServerTotals, server_number
 from violethatch.path_shares import ZonePosition
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 from violethatch.upstream import ServerLoad, ServerSignals
 
 
@@ -114,7 +114,7 @@
         """Parts that were assigned before the failure are not used."""
         (routing,) = make_routings(1, *LOCAL)
         first = routing.path(SERVICE).first
-        routing.note_trouble(first, Trouble.SILENT, "c1", "gives no report")
+        routing.note_trouble(first, ServerFault.SILENT, "c1", "gives no report")
         assert routing.path(SERVICE).first.id != first.id
 
 
@@ -146,8 +146,8 @@
         (routing,) = make_routings(1, *LOCAL[:8])
         now_s = clocks.now_s()
         for server in LOCAL[:4]:
-            routing.health.note(server.id, Trouble.SILENT, now_s=now_s)
-        routing.health.note("n1-2", Trouble.FULL, now_s=now_s)
+            routing.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
+        routing.health.record_fault("n1-2", ServerFault.FULL, now_s=now_s)
         assert routing.blocked(SERVICE).remaining_s <= 0.3
         assert routing.blocked(SERVICE).remaining_s > 0.0
 
@@ -167,7 +167,7 @@
         )
         assert routing.blocked(SERVICE).requested_s <= 2.0
         for server in (LOCAL[3], LOCAL[7]):
-            routing.health.note(server.id, Trouble.SILENT, now_s=now_s)
+            routing.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
         assert 2.0 <= routing.blocked(SERVICE).remaining_s <= 3.0
 
     def test_no_time_for_missing_layers(self):
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -126,7 +126,7 @@
         await duty._look()
         assert "a" in duty._ordered
         again = FLEET[0]._replace(started_ms=200)
-        routing.backends.change([again], [], now_s=clocks.now_s())
+        routing.backends.apply_changes([again], [], now_s=clocks.now_s())
         await duty._look()
         assert set(duty._ordered) == {"b", "c"}
 
@@ -163,7 +163,7 @@
         for _ in range(5):
             await duty._look()
         assert len(made) == 1
-        routing.backends.change([runner("c", kind="large")], [], now_s=0.0)
+        routing.backends.apply_changes([runner("c", kind="large")], [], now_s=0.0)
         await duty._look()
         assert len(made) == 2
 
@@ -216,7 +216,7 @@
         done = [
             runner(name, *layers, kind="large") for name, layers, _, _ in client.placed
         ]
-        routing.backends.change(done, [], now_s=clocks.now_s())
+        routing.backends.apply_changes(done, [], now_s=clocks.now_s())
         await duty._look()
         await duty._look()
         assert not duty.is_holder
@@ -333,7 +333,7 @@
         duty.desired = LOADING
         await duty._look()
         waiting = next(iter(duty._waiting))
-        routing.backends.change([], [waiting], now_s=clocks.now_s())
+        routing.backends.apply_changes([], [waiting], now_s=clocks.now_s())
         loaded(client, duty)
         await duty._look()
         assert waiting not in duty._waiting
@@ -346,7 +346,7 @@
         read_row = store.read_row
 
         async def change_and_read(key):
-            routing.backends.change([], ["a"], now_s=clocks.now_s())
+            routing.backends.apply_changes([], ["a"], now_s=clocks.now_s())
             return await read_row(key)
 
         store.read_row = change_and_read
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -11,7 +11,6 @@
 
 import virtual_time
 
-from asking_servers import watched_lag
 from router_fakes import (
     LOST,
     FakeAnswer,
@@ -23,6 +22,7 @@
     refused,
 )
 from routing_samples import call_route, plain_server
+from signaling_servers import measure_loop_lag
 from violethatch import clocks
 from violethatch._plain_calls import PlainCall
 from violethatch.desired import CallKind, Split
@@ -154,23 +154,23 @@
         call, routing = unanswered_call(target_s=0.05, wait_s=0.3)
         serving = asyncio.create_task(call.serve(FakeResponder()))
         await asyncio.sleep(0.2)
-        assert len(routing.health.resting(now_s=clocks.now_s())) == 1
+        assert len(routing.health.in_cooldown(now_s=clocks.now_s())) == 1
         with pytest.raises(DeadlineError):
             await serving
-        assert len(routing.health.resting(now_s=clocks.now_s())) == 1
+        assert len(routing.health.in_cooldown(now_s=clocks.now_s())) == 1
 
     async def test_server_that_is_silent_past_its_target_is_sent_to(self):
         """The caller's time ends between the target and twice as much."""
         for _ in range(MAX_TRIES):
             call, routing = unanswered_call(target_s=0.1, wait_s=0.15)
             began_s = clocks.now_s()
-            async with watched_lag() as lag:
+            async with measure_loop_lag() as lag:
                 with pytest.raises(DeadlineError):
                     await call.serve(FakeResponder())
             # The target counts running time, the caller's limit doesn't.
-            if lag.held_s(began_s, clocks.now_s()) < 0.04:
+            if lag.stalled_s(began_s, clocks.now_s()) < 0.04:
                 break
-        assert len(routing.health.resting(now_s=clocks.now_s())) == 1
+        assert len(routing.health.in_cooldown(now_s=clocks.now_s())) == 1
 
     async def test_standstill_is_no_silence_of_the_server(self):
         """The target is not over where the loop stood still for most of the time."""
@@ -178,14 +178,14 @@
         asyncio.get_running_loop().call_later(0.02, time.sleep, 0.12)
         with pytest.raises(DeadlineError):
             await call.serve(FakeResponder())
-        assert not routing.health.resting(now_s=clocks.now_s())
+        assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
     async def test_caller_s_short_time_says_nothing(self):
         """A server that had less time than its target is not left alone."""
         call, routing = unanswered_call(target_s=0.5, wait_s=0.05)
         with pytest.raises(DeadlineError):
             await call.serve(FakeResponder())
-        assert not routing.health.resting(now_s=clocks.now_s())
+        assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
     async def test_refusals_cost_no_attempt(self):
         """Servers that have not run the call don't use up its attempts."""
@@ -226,7 +226,7 @@
         """No rested connection is used, whose close would leave it open."""
         client = FakeClient(FakeAnswer(b"abc"))
         await serve(client, kind=CallKind.ONCE)
-        assert client.sends[0].is_connection_fresh
+        assert client.sends[0].needs_new_connection
 
     async def test_failure_is_passed_on_at_once(self):
         """A failure is the answer."""
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -56,7 +56,7 @@
     def check_send(self, _server, _sending, _request_id, _permit):
         pass
 
-    def settle(self, _server, _permit, *, was_written):
+    def release_permit(self, _server, _permit, *, was_written):
         pass
 
 
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -30,7 +30,7 @@
 
 async def silent(probes, *servers):
     """Return the servers that are found silent."""
-    return (await probes.look(servers, within_s=5.0)).silent
+    return (await probes.probe(servers, within_s=5.0)).silent
 
 
 class TestProbes:
@@ -40,7 +40,7 @@
 
     async def test_reports_are_given(self):
         """What a runner told is there for who asked."""
-        found = await Probes(CountingClient("b")).look([A, B], within_s=5.0)
+        found = await Probes(CountingClient("b")).probe([A, B], timeout_s=5.0)
         assert found.reports.keys() == {"a"}
 
     async def test_slow_ones_are_pending(self):
@@ -50,14 +50,14 @@
             async def report(self, server):
                 await asyncio.Event().wait()
 
-        found = await Probes(HangingClient()).look([A], within_s=0.001)
+        found = await Probes(HangingClient()).probe([A], timeout_s=0.001)
         assert (found.silent, found.pending) == ((), (A,))
 
     async def test_silence_is_told_of_when_it_is_known(self):
         """Also if nobody waits for the probe any more."""
         told = []
         probes = Probes(CountingClient("a"), on_silent=told.append)
-        await probes.look([A, B], within_s=0.001)
+        await probes.probe([A, B], timeout_s=0.001)
         await asyncio.sleep(0.05)
         assert told == [A]
 
@@ -72,8 +72,8 @@
 
         probes = Probes(RestingClient(), on_silent=told.append)
         for _ in range(5):
-            found = await probes.look([A], within_s=5.0)
-            assert (found.silent, found.pending, found.unasked) == ((), (), (A,))
+            found = await probes.probe([A], timeout_s=5.0)
+            assert (found.silent, found.pending, found.skipped) == ((), (), (A,))
         assert (looks, told) == (["a"], [])
 
     async def test_requests_share_a_probe(self):
--- a/tests/test_repeats_that_end_servers.py
+++ b/tests/test_repeats_that_end_servers.py
@@ -24,7 +24,6 @@
 
 import pytest
 
-from asking_servers import watched_lag
 from mortal_fleet import (
     DEADLY,
     STREAMS,
@@ -36,6 +35,7 @@
 )
 from router_fakes import broken, events
 from routing_samples import desired_state
+from signaling_servers import measure_loop_lag
 from violethatch import clocks
 from violethatch.errors import HeldBackError
 
@@ -73,7 +73,9 @@
     known_s = ended_s + TOLD_S
     if lag is None:
         return sum(at_s > known_s for at_s in servers.arrived_s)
-    return sum(at_s > known_s + lag.held_s(ended_s, at_s) for at_s in servers.arrived_s)
+    return sum(
+        at_s > known_s + lag.stalled_s(ended_s, at_s) for at_s in servers.arrived_s
+    )
 
 
 @pytest.mark.parametrize("instances", [1, 6])
@@ -224,7 +226,7 @@
     """Several callers' tries are under way before anybody can know; then no more."""
     servers = Servers(model_runner, count=8)
     fleet = Fleet(6, servers, seed=seed)
-    async with watched_lag() as lag:
+    async with measure_loop_lag() as lag:
         await try_at_the_same_moment(fleet)
     assert arrivals_after(servers, lag) <= MOST_AFTER
 
@@ -252,7 +254,7 @@
             asyncio.get_running_loop().call_later(0.001, hold)
 
     servers.end = end_and_hold
-    async with watched_lag() as lag:
+    async with measure_loop_lag() as lag:
         await try_at_the_same_moment(fleet)
     assert lag.most_s >= TOLD_S
     assert arrivals_after(servers, lag) <= MOST_AFTER
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -12,7 +12,7 @@
 from routing_samples import plain_server, runner
 from violethatch import _health_checks, clocks, runner_paces
 from violethatch._health_checks import HealthCheckLoop
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 
 
 A, B = runner("a", 0, 80), runner("b", 0, 80)
@@ -26,7 +26,7 @@
 
 def resting(routing, *, in_s=0.0):
     """Return who rests, now or later."""
-    return routing.health.resting(now_s=clocks.now_s() + in_s)
+    return routing.health.in_cooldown(now_s=clocks.now_s() + in_s)
 
 
 class TestRestWatch:
@@ -36,15 +36,15 @@
         client.reports["a"] = report()
         routing = make_routing(client, A, B, rng=random.Random(1))
         for server in (A, B):
-            routing.note_trouble(server, Trouble.SILENT, "r", "dead")
+            routing.note_trouble(server, ServerFault.SILENT, "r", "dead")
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing) == {"b"}
 
     async def test_silent_runner_rests_on(self):
         """No request has to find out that it is still dead."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.note_trouble(A, Trouble.SILENT, "r", "dead")
-        routing.health.prolong("a", now_s=clocks.now_s() - 2.0)
+        routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+        routing.health.extend_cooldown("a", now_s=clocks.now_s() - 2.0)
         ends_s = routing.settings.bounds.stall_s - 0.01
         watch = HealthCheckLoop(routing, rng=random.Random(1))
         await asyncio.sleep(0.05)
@@ -55,13 +55,15 @@
     async def test_rests_don_t_grow_for_ever(self):
         """A runner that comes back is used again within the engines' own limit."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.note_trouble(A, Trouble.SILENT, "r", "dead")
+        routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
         for _ in range(9):
             await HealthCheckLoop(routing, rng=random.Random(1)).look()
         longest_s = routing.settings.bounds.stall_s + 0.1
         assert resting(routing, in_s=longest_s) == set()
 
-    @pytest.mark.parametrize("trouble", [Trouble.NAMED, Trouble.FAILED, Trouble.FULL])
+    @pytest.mark.parametrize(
+        "trouble", [ServerFault.NAMED, ServerFault.FAILED, ServerFault.FULL]
+    )
     async def test_other_troubles_end_by_time(self, trouble):
         """That a runner answers says nothing of them."""
         client = FakeClient()
@@ -74,7 +76,7 @@
     async def test_plain_servers_are_not_asked(self):
         """They give no reports."""
         routing = make_routing(FakeClient(), plain_server("p"), rng=random.Random(1))
-        routing.note_trouble(plain_server("p"), Trouble.SILENT, "r", "")
+        routing.note_trouble(plain_server("p"), ServerFault.SILENT, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing, in_s=routing.settings.bounds.stall_s) == set()
 
@@ -91,7 +93,7 @@
             asked.clear()
             routing = make_routing(AskedClient(), A, rng=random.Random(1))
             routing.instances = lambda count=instances: count
-            routing.note_trouble(A, Trouble.SILENT, "r", "dead")
+            routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
             watch = HealthCheckLoop(routing, rng=random.Random(1))
             for _ in range(6):
                 await watch.look()
@@ -105,7 +107,7 @@
         client = FakeClient()
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
-        routing.paces.note("a", 12.0, now_s=clocks.now_s())
+        routing.paces.record("a", 12.0, now_s=clocks.now_s())
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert routing.paces.slow(now_s=clocks.now_s()) == {}
 
@@ -118,7 +120,7 @@
             HealthCheckLoop(routing, rng=random.Random(1)).run()
         )
         for _ in range(2):
-            routing.note_trouble(A, Trouble.SILENT, "r", "dead")
+            routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
             async with asyncio.timeout(5):
                 while resting(routing):
                     await asyncio.sleep(0.01)
--- a/tests/test_runner_paces.py
+++ b/tests/test_runner_paces.py
@@ -7,39 +7,41 @@
 
 from routing_samples import engine, runner
 from violethatch.paths import LayerMap, find_path
-from violethatch.runner_paces import RunnerPaces
+from violethatch.slow_runners import SlowRunners
 
 
 def due(paces, *, instances=1, rng=None, now_s):
     """Return whom an instance asks again."""
-    return paces.due(instances=instances, rng=rng or random.Random(1), now_s=now_s)
+    return paces.due_for_probe(
+        instances=instances, rng=rng or random.Random(1), now_s=now_s
+    )
 
 
 class TestRunnerPaces:
     def test_slow_runner_is_known(self):
         """Its latest word counts."""
-        paces = RunnerPaces()
-        paces.note("a", 12.0, now_s=0.0)
-        paces.note("a", 11.0, now_s=1.0)
+        paces = SlowRunners()
+        paces.record("a", 12.0, now_s=0.0)
+        paces.record("a", 11.0, now_s=1.0)
         assert paces.slow(now_s=1.0) == {"a": 11.0}
 
     def test_usual_pace_is_nothing(self):
         """Runners are a little slower or quicker all the time."""
-        paces = RunnerPaces()
-        paces.note("a", 1.4, now_s=0.0)
+        paces = SlowRunners()
+        paces.record("a", 1.4, now_s=0.0)
         assert paces.slow(now_s=0.0) == {}
 
     def test_runner_that_is_quick_again(self):
         """Its new word ends it."""
-        paces = RunnerPaces()
-        paces.note("a", 12.0, now_s=0.0)
-        paces.note("a", 1.0, now_s=1.0)
+        paces = SlowRunners()
+        paces.record("a", 12.0, now_s=0.0)
+        paces.record("a", 1.0, now_s=1.0)
         assert paces.slow(now_s=1.0) == {}
 
     def test_word_is_asked_for_again_before_it_lapses(self):
         """A slow runner that gets no requests is not forgotten as slow."""
-        paces = RunnerPaces()
-        paces.note("a", 12.0, now_s=0.0)
+        paces = SlowRunners()
+        paces.record("a", 12.0, now_s=0.0)
         assert due(paces, now_s=1.0) == []
         assert due(paces, now_s=2.5) == ["a"]
         assert paces.slow(now_s=2.5) == {"a": 12.0}
@@ -47,8 +49,8 @@
 
     def test_few_of_many_instances_ask(self):
         """What one is told, all hear."""
-        paces = RunnerPaces()
-        paces.note("a", 12.0, now_s=0.0)
+        paces = SlowRunners()
+        paces.record("a", 12.0, now_s=0.0)
         rng = random.Random(1)
         asked = sum(
             len(due(paces, instances=200, rng=rng, now_s=3.0)) for _ in range(2000)
@@ -57,8 +59,8 @@
 
     def test_runner_that_is_gone(self):
         """Nothing is kept of it."""
-        paces = RunnerPaces()
-        paces.note("a", 12.0, now_s=0.0)
+        paces = SlowRunners()
+        paces.record("a", 12.0, now_s=0.0)
         paces.forget("a")
         assert due(paces, now_s=9.0) == []
 
--- a/tests/test_server_links.py
+++ b/tests/test_server_links.py
@@ -20,7 +20,7 @@
     servers_to_check,
 )
 from violethatch.forwarding._links import SOUND_LIFE_S
-from violethatch.upstream import Reached
+from violethatch.upstream import ReachOutcome
 
 
 RNG = random.Random(1)
@@ -111,10 +111,10 @@
             self.on_model_asked()
         await asyncio.sleep(0.001)
         if self.is_cut or asked.id in self.dead:
-            return Reached.SILENT
+            return ReachOutcome.SILENT
         if self.is_busy and asked.service == "labels":
-            return Reached.CONNECTED
-        return Reached.ANSWERED
+            return ReachOutcome.CONNECTED
+        return ReachOutcome.ANSWERED
 
     def watch(self):
         """Return a watch over these servers that is active."""
--- a/tests/test_servers_that_ask_for_rest.py
+++ b/tests/test_servers_that_ask_for_rest.py
@@ -16,12 +16,12 @@
 
 import pytest
 
-from asking_servers import (
-    UNDER_WAY_S,
-    first_choice,
-    servers_and_machines,
+from signaling_servers import (
+    IN_FLIGHT_S,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
     slow_connects,
-    watched_lag,
 )
 
 
@@ -35,20 +35,23 @@
 async def test_rest_is_kept(path):
     """Nothing reaches the server until its rest is over; the others serve."""
     async with (
-        servers_and_machines(first_choice(path), machines=2) as (servers, machines),
-        watched_lag() as lag,
+        servers_and_instances(preferred_servers(path), machines=2) as (
+            servers,
+            machines,
+        ),
+        measure_loop_lag() as lag,
     ):
-        servers[0].asks_for = str(REST_S)
+        servers[0].retry_after = str(REST_S)
         outcomes = await asyncio.gather(
             *(
-                one.keep_asking(every_s=EVERY_S, for_s=REST_S + 0.3, path=path)
+                one.send_repeatedly(every_s=EVERY_S, for_s=REST_S + 0.3, path=path)
                 for one in machines
             )
         )
-        assert servers[0].said_s is not None
+        assert servers[0].first_signal_s is not None
         for one in machines:
             again = servers[0].arrivals(
-                after_s=UNDER_WAY_S + lag.most_s, until_s=REST_S, machine=one.name
+                after_s=IN_FLIGHT_S + lag.most_s, until_s=REST_S, machine=one.name
             )
             assert again == []
         assert all(one.end == "whole" for some in outcomes for one in some)
@@ -58,10 +61,10 @@
 async def test_sends_that_wait_keep_to_the_rest(path):
     """What was decided before the word and waits for a connection goes elsewhere."""
     async with (
-        servers_and_machines(first_choice(path)) as (servers, (machine,)),
-        watched_lag() as lag,
+        servers_and_instances(preferred_servers(path)) as (servers, (machine,)),
+        measure_loop_lag() as lag,
     ):
-        servers[0].asks_for = str(REST_S)
+        servers[0].retry_after = str(REST_S)
         waits_s = iter([0.0, *(0.55 + 0.02 * n for n in range(12))])
 
         def wait_s(address):
@@ -70,6 +73,6 @@
         for session in (machine.kept, machine.fresh):
             slow_connects(session, wait_s)
         outcomes = await asyncio.gather(*(machine.ask(path=path) for _ in range(13)))
-        again = servers[0].arrivals(after_s=UNDER_WAY_S + lag.most_s, until_s=REST_S)
+        again = servers[0].arrivals(after_s=IN_FLIGHT_S + lag.most_s, until_s=REST_S)
         assert again == []
         assert all(one.end == "whole" for one in outcomes)
--- a/tests/test_servers_that_leave.py
+++ b/tests/test_servers_that_leave.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from asking_servers import (
+from signaling_servers import (
     LEAVING_S,
-    first_choice,
-    servers_and_machines,
-    watched_lag,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
 )
 
 
@@ -26,13 +26,19 @@
 async def test_leaving_server_gets_nothing_more(path, turns_away):
     """Once an answer says so no request goes there, though the list says nothing."""
     async with (
-        servers_and_machines(first_choice(path), machines=2) as (servers, machines),
-        watched_lag() as lag,
+        servers_and_instances(preferred_servers(path), machines=2) as (
+            servers,
+            machines,
+        ),
+        measure_loop_lag() as lag,
     ):
         servers[0].is_leaving = True
-        servers[0].asks_for = "0" if turns_away else None
+        servers[0].retry_after = "0" if turns_away else None
         outcomes = await asyncio.gather(
-            *(one.keep_asking(every_s=0.02, for_s=1.0, path=path) for one in machines)
+            *(
+                one.send_repeatedly(every_s=0.02, for_s=1.0, path=path)
+                for one in machines
+            )
         )
         after_s = LEAVING_S + lag.most_s
         assert servers[0].arrivals(after_s=after_s, until_s=9.0) == []
--- a/tests/test_servers_that_name_a_limit.py
+++ b/tests/test_servers_that_name_a_limit.py
@@ -19,12 +19,12 @@
 
 import pytest
 
-from asking_servers import (
-    first_choice,
-    join_machines,
-    most_within,
-    servers_and_machines,
-    watched_lag,
+from signaling_servers import (
+    join_instances,
+    max_within,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
 )
 
 
@@ -45,23 +45,23 @@
 async def test_all_together_keep_to_it(path, instances):
     """All together send what the server takes of them; the other servers serve."""
     async with (
-        servers_and_machines(first_choice(path), machines=instances) as (
+        servers_and_instances(preferred_servers(path), machines=instances) as (
             servers,
             machines,
         ),
-        watched_lag() as lag,
+        measure_loop_lag() as lag,
     ):
-        join_machines(machines)
+        join_instances(machines)
         await machines[0].ask(path=path)
         (limited,) = (one for one in servers if one.ran)
         limited.limit_a_s = str(LIMIT_A_S)
         outcomes = await asyncio.gather(
             *(
-                one.keep_asking(every_s=EVERY_S, for_s=LASTS_S, path=path)
+                one.send_repeatedly(every_s=EVERY_S, for_s=LASTS_S, path=path)
                 for one in machines
             )
         )
         arrived_s = limited.arrival_times(after_s=KNOWN_S, until_s=LASTS_S)
-        most = most_within(arrived_s, SPAN_S - lag.most_s)
+        most = max_within(arrived_s, SPAN_S - lag.most_s)
         assert most <= int(SPAN_S * LIMIT_A_S)
         assert all(one.end == "whole" for some in outcomes for one in some)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from asking_servers import watched_lag
+from signaling_servers import measure_loop_lag
 from test_platform_process import Site, event_ids
 from test_router_settings import FIELDS
 from violethatch import clocks
@@ -104,7 +104,7 @@
         The store is in the test's process: what its own standstills lose is lost.
         """
         site = deployed_site
-        async with watched_lag() as lag:
+        async with measure_loop_lag() as lag:
             for _ in range(3):
                 await site.wait_for_read()
                 site.process.send_signal(signal.SIGSTOP)
@@ -113,7 +113,7 @@
             await asyncio.sleep(0.5)
         counters = (await site.fetch("/metrics")).decode()
         assert 'outcome="answered"' in counters
-        has_stood_still = lag.last_hold_s(least_s=STORE_SILENCE_S) > -math.inf
+        has_stood_still = lag.last_stall_end_s(least_s=STORE_SILENCE_S) > -math.inf
         assert 'outcome="lost"' not in counters or has_stood_still
 
 
--- a/tests/test_silent_reads.py
+++ b/tests/test_silent_reads.py
@@ -94,7 +94,7 @@
         generation = self._idle.pop(0) if is_idle else self._network.generation
         answer = await self._network.exchange(generation, work, limit_s=limit_s)
         if answer is None:
-            self._choice.note_lost()
+            self._choice.record_lost_response()
         elif is_kept:
             self._idle.append(generation)
         return answer
--- a/tests/test_silent_runs_replay.py
+++ b/tests/test_silent_runs_replay.py
@@ -120,7 +120,7 @@
     fleet = Fleet()
     routing = Routing(router_settings(), fleet, random.Random(1))
     routing.take_settings(routing.settings._replace(policy=_deployed_policy()))
-    routing.backends.change(RUNNERS.values(), [], now_s=clocks.now_s())
+    routing.backends.apply_changes(RUNNERS.values(), [], now_s=clocks.now_s())
     allowed = admitted(call_route(is_resumable=is_resumable))
     got, calls = [], []
     for number in range(STREAMS):
--- a/tests/test_state_at_admission.py
+++ b/tests/test_state_at_admission.py
@@ -76,7 +76,7 @@
         self.put_in_force(desired_state(STREAMS, PLAIN))
         servers = [plain_server("s1"), plain_server("s2")]
         runners = [runner(name, 0, 80, kind="large") for name in ("a", "b")]
-        self.router.routing.backends.change([*servers, *runners], [], now_s=0.0)
+        self.router.routing.backends.apply_changes([*servers, *runners], [], now_s=0.0)
         self.router.freshness.proven(clocks.now_s())
 
     def put_in_force(self, state):
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -10,7 +10,7 @@
 from restorable_store import BOUND_S, SLACK_S, RestorableRegion, RestorableStore
 from routing_samples import plain_server
 from violethatch.backends import REWRITE_GRACE_S, BackendTable
-from violethatch.departures import UNDONE_S
+from violethatch.departures import RESTORE_QUARANTINE_S
 from violethatch.table_cache import TableCache
 from violethatch.upstream import TableView
 
@@ -137,48 +137,50 @@
     def test_draining_server_is_ready_again_after_a_restore(self):
         """A copy from before the draining does not make the server usable."""
         table = BackendTable()
-        table.change([plain_server("a"), plain_server("b")], [], now_s=0.0)
-        table.change([plain_server("a", is_leaving=True)], [], now_s=1.0)
+        table.apply_changes([plain_server("a"), plain_server("b")], [], now_s=0.0)
+        table.apply_changes([plain_server("a", is_leaving=True)], [], now_s=1.0)
         table.replace([plain_server("a"), plain_server("b")], now_s=2.0)
         assert usable(table) == ["b"]
 
     def test_copy_brings_back_a_server_that_has_left(self):
         """It gets nothing until its entry is written anew."""
         table = BackendTable()
-        table.change([plain_server("a"), plain_server("b")], [], now_s=0.0)
-        table.change([], ["a"], now_s=1.0)
+        table.apply_changes([plain_server("a"), plain_server("b")], [], now_s=0.0)
+        table.apply_changes([], ["a"], now_s=1.0)
         copy = [plain_server("a"), plain_server("b")]
         table.replace(copy, is_restored=True, now_s=2.0)
         assert usable(table) == ["b"]
         table.replace(copy, now_s=3.0)
         assert usable(table) == ["b"]
-        table.change([plain_server("a")], [], now_s=4.0)
+        table.apply_changes([plain_server("a")], [], now_s=4.0)
         assert usable(table) == ["b", "a"]
 
     def test_server_that_survives_a_restore_stays_shut_out(self):
         """A departure is not remembered for good."""
         table = BackendTable()
-        table.change([plain_server("a")], [], now_s=0.0)
-        table.change([], ["a"], now_s=1.0)
+        table.apply_changes([plain_server("a")], [], now_s=0.0)
+        table.apply_changes([], ["a"], now_s=1.0)
         table.replace([plain_server("a")], is_restored=True, now_s=2.0)
-        table.replace([plain_server("a")], now_s=2.0 + UNDONE_S)
+        table.replace([plain_server("a")], now_s=2.0 + RESTORE_QUARANTINE_S)
         assert usable(table) == ["a"]
 
     def test_copy_without_a_server_takes_it_out_of_use(self):
         """Until entries are written again, what a copy lacks is still used."""
         table = BackendTable()
-        table.change([plain_server("a"), plain_server("b")], [], now_s=0.0)
+        table.apply_changes([plain_server("a"), plain_server("b")], [], now_s=0.0)
         table.replace([], is_restored=True, now_s=5.0)
         table.expire(now_s=7.2)
         assert usable(table) == ["a", "b"]
-        table.change([plain_server("a")], [], now_s=7.3)
+        table.apply_changes([plain_server("a")], [], now_s=7.3)
         table.expire(now_s=5.0 + REWRITE_GRACE_S)
         assert usable(table) == ["a"]
 
     def test_drained_server_starts_again_after_a_restore(self):
         """A new start of its id is another server."""
         table = BackendTable()
-        table.change([plain_server("a", started_ms=5, is_leaving=True)], [], now_s=0.0)
+        table.apply_changes(
+            [plain_server("a", started_ms=5, is_leaving=True)], [], now_s=0.0
+        )
         table.replace([plain_server("a", started_ms=9)], is_restored=True, now_s=1.0)
         assert usable(table) == ["a"]
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -30,7 +30,7 @@
     OverloadedError,
     PipelineFailedError,
 )
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 from violethatch.streams import StreamCall
 from violethatch.upstream import (
     NotSentError,
@@ -183,7 +183,7 @@
         assert got.end == "whole"
         ids = [stage.server.id for stage in client.sends[1].path.stages]
         assert ids == ["head", "spare"]
-        assert "head" not in routing.health.resting(now_s=0.0)
+        assert "head" not in routing.health.in_cooldown(now_s=0.0)
 
     async def test_refused_by_all_is_a_true_refusal(self):
         """The caller hears that nothing ran, and when to come back."""
@@ -205,7 +205,7 @@
         """Its caller could not be told that it has not run, and to come back."""
         client = FakeClient(LOST, FakeAnswer(events(1)))
         routing = make_routing(client, A, B, rng=random.Random(1))
-        routing.health.note("b", Trouble.SILENT, now_s=clocks.now_s() - 2.7)
+        routing.health.record_fault("b", ServerFault.SILENT, now_s=clocks.now_s() - 2.7)
         responder = FakeResponder()
         await StreamCall(routing, make_call(), admitted()).serve(responder)
         assert (responder.end, responder.body) == ("whole", events(1))
@@ -229,7 +229,7 @@
         client = FakeClient(NotSentError("refused"), FakeAnswer(events(1)))
         got, routing = await serve(client, A, B)
         assert got.end == "whole"
-        assert routing.health.resting(now_s=0.0) == {"a"}
+        assert routing.health.in_cooldown(now_s=0.0) == {"a"}
 
 
 class TestSilence:
@@ -245,7 +245,7 @@
         _, call_id, path = client.repaths[0]
         assert call_id == "c1"
         assert [stage.server.id for stage in path.stages] == ["head", "spare"]
-        assert "tail" in routing.health.resting(now_s=0.0)
+        assert "tail" in routing.health.in_cooldown(now_s=0.0)
 
     async def test_silent_first_runner_is_left(self):
         """A first runner without even a report is given up on."""
@@ -276,7 +276,7 @@
         got, routing = await serve(client, HEAD, TAIL, SPARE, silence_limit_s="0.9")
         assert (got.end, len(client.sends)) == ("whole", 1)
         assert [s.server.id for s in client.repaths[0][2].stages] == ["head", "spare"]
-        assert "tail" in routing.health.shunned(now_s=clocks.now_s())
+        assert "tail" in routing.health.excluded(now_s=clocks.now_s())
 
     async def test_runner_that_is_slow_to_report_is_gone_around(self):
         """The stream doesn't wait for the end of a probe."""
@@ -305,7 +305,7 @@
         got, routing = await serve(client, HEAD, TAIL, SPARE)
         assert (got.end, len(client.sends)) == ("whole", 1)
         assert [s.server.id for s in client.repaths[0][2].stages] == ["head", "spare"]
-        assert not routing.health.resting(now_s=clocks.now_s())
+        assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
     async def test_slow_runner_without_another_is_waited_for(self):
         """Nothing is given up for it."""
@@ -331,7 +331,7 @@
         async with asyncio.timeout(5):
             while not client.sends:
                 await asyncio.sleep(0.001)
-            routing.backends.change([far[2], SPARE], [], now_s=clocks.now_s())
+            routing.backends.apply_changes([far[2], SPARE], [], now_s=clocks.now_s())
             await task
         assert [s.server.id for s in client.repaths[0][2].stages] == ["head", "spare"]
 
@@ -369,7 +369,7 @@
         async with asyncio.timeout(5):
             while not client.sends:
                 await asyncio.sleep(0.001)
-            routing.note_trouble(TAIL, Trouble.NAMED, "another", "waits")
+            routing.note_trouble(TAIL, ServerFault.NAMED, "another", "waits")
             await task
         assert [s.server.id for s in client.repaths[0][2].stages] == ["head", "spare"]
 
@@ -539,7 +539,7 @@
         client = FakeClient(ArrivedAnswer())
         got, routing = await serve(client, A, B)
         assert (got.end, got.body, len(client.sends)) == ("whole", events(1, 2), 1)
-        assert not routing.health.resting(now_s=clocks.now_s())
+        assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
 
 class TestFailingRunner:
@@ -563,11 +563,13 @@
         client = FakeClient(FakeAnswer(b"no", status=500), FakeAnswer(events(1)))
         _, routing = await serve(client, A, B)
         now_s = clocks.now_s()
-        assert not routing.health.is_resting("a", now_s=now_s + 0.6)
+        assert not routing.health.is_in_cooldown("a", now_s=now_s + 0.6)
         rests = []
         for _ in range(6):
             now_s += 20.0
-            rests.append(routing.health.note("a", Trouble.FAILED, now_s=now_s))
+            rests.append(
+                routing.health.record_fault("a", ServerFault.FAILED, now_s=now_s)
+            )
         assert rests == [1.0, 2.0, 4.0, 8.0, 12.0, 12.0]
 
 
@@ -596,7 +598,7 @@
         assert got.end == "whole"
         first, second = (path.stages[1].server.id for _, _, path in client.repaths)
         assert first != second
-        assert routing.health.is_resting(first, now_s=clocks.now_s())
+        assert routing.health.is_in_cooldown(first, now_s=clocks.now_s())
 
 
 class TestCallerLeaves:
@@ -623,7 +625,7 @@
         """A refusal of a moment ago is no reason to refuse all that come."""
         client = FakeClient(FakeAnswer(events(1)))
         routing = make_routing(client, A, rng=random.Random(1))
-        routing.health.note(A.id, Trouble.ABSENT, now_s=clocks.now_s())
+        routing.health.record_fault(A.id, ServerFault.ABSENT, now_s=clocks.now_s())
         got = FakeResponder()
         await StreamCall(routing, make_call(), admitted()).serve(got)
         assert got.end == "whole"
@@ -646,7 +648,7 @@
         got, routing = await serve(client, HEAD, TAIL, SPARE)
         assert got.end == "whole"
         assert [path.stages[1].server.id for _, _, path in client.repaths] == ["spare"]
-        assert routing.health.shunned(now_s=clocks.now_s()) == {"tail"}
+        assert routing.health.excluded(now_s=clocks.now_s()) == {"tail"}
 
     async def test_runners_that_answer_are_not_left(self):
         """A slow request on a path that is well goes on."""
@@ -656,7 +658,7 @@
         got, routing = await serve(client, HEAD, TAIL)
         assert got.end == "whole"
         assert client.repaths == []
-        assert not routing.health.resting(now_s=clocks.now_s())
+        assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
 
 class TestLostAnswer:
@@ -731,7 +733,7 @@
         again = TAIL._replace(started_ms=7, layers=None)
         started_s = clocks.now_s()
         routing.take_restarted([TAIL])
-        routing.backends.change([again], [], now_s=started_s)
+        routing.backends.apply_changes([again], [], now_s=started_s)
         async with asyncio.timeout(2):
             await serving
         assert (responder.end, responder.body) == ("whole", events(1, 2))
@@ -756,8 +758,8 @@
         """Its troubles and its pace were not the new one's."""
         routing = make_routing(FakeClient(), A, B, rng=random.Random(1))
         now_s = clocks.now_s()
-        routing.health.note("a", Trouble.SILENT, now_s=now_s)
-        routing.paces.note("a", 9.0, now_s=now_s)
+        routing.health.record_fault("a", ServerFault.SILENT, now_s=now_s)
+        routing.paces.record_fault("a", 9.0, now_s=now_s)
         routing.take_restarted([A])
-        assert not routing.health.resting(now_s=now_s)
+        assert not routing.health.in_cooldown(now_s=now_s)
         assert not routing.paces.slow(now_s=now_s)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -9,13 +9,6 @@
 
 import pytest
 
-from asking_servers import (
-    LEAVING_S,
-    first_choice,
-    servers_and_machines,
-    slow_connects,
-    watched_lag,
-)
 from mortal_fleet import Fleet, Servers
 from router_fakes import (
     FakeAnswer,
@@ -29,13 +22,20 @@
     report,
 )
 from routing_samples import runner
+from signaling_servers import (
+    LEAVING_S,
+    measure_loop_lag,
+    preferred_servers,
+    servers_and_instances,
+    slow_connects,
+)
 from violethatch import clocks
 from violethatch import events as log_events
 from violethatch.errors import OverloadedError
 from violethatch.layers import LayerRange
 from violethatch.limit_permits import Permit
 from violethatch.paths import Path, Stage
-from violethatch.runner_health import Trouble
+from violethatch.runner_health import ServerFault
 from violethatch.streams import StreamCall
 from violethatch.upstream import (
     KeptBackError,
@@ -43,7 +43,7 @@
     OrderOutcome,
     Refusal,
     Send,
-    Sending,
+    SendKind,
     ServerSignals,
 )
 
@@ -102,7 +102,10 @@
     @pytest.mark.parametrize("how", WAYS)
     async def test_keeps_to_a_rest(self, how):
         """Nothing is written, and the caller of it learns that."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one = servers[0].listed
             made[0].router.routing.flow_control.record_signals(one, REST, "c0")
             assert await try_way(made[0].client, one, how)
@@ -111,7 +114,10 @@
     @pytest.mark.parametrize("how", WAYS)
     async def test_is_open_without_a_word(self, how):
         """What is tested above reaches the server otherwise."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             assert not await try_way(made[0].client, servers[0].listed, how)
             assert len(servers[0].arrived) == 1
 
@@ -126,7 +132,10 @@
     )
     async def test_to_a_server_that_leaves(self, how, at_once, later):
         """New work ends at once, moves with the bound; questions are no work."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one = servers[0].listed
             made[0].router.routing.flow_control.record_signals(one, LEAVES, "c0")
             assert await try_way(made[0].client, one, how) is at_once
@@ -135,7 +144,10 @@
 
     async def test_to_a_server_that_is_gone(self):
         """A send that was decided before the entry went is not written."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one = servers[0].listed
             made[0].list({one.id: None})
             assert await try_way(made[0].client, one, "call")
@@ -143,7 +155,10 @@
 
     async def test_connection_is_used_on(self):
         """What is kept back right before the write costs no connection."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one, client = servers[0].listed, made[0].client
             (await client.send(send_to(one))).close(is_whole=True)
             await asyncio.sleep(0.05)
@@ -159,7 +174,10 @@
 
     async def test_rests_of_a_new_start(self):
         """A server that has started again is free; who is listed decides."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one = servers[0].listed._replace(started_ms=5)
             made[0].list({one.id: one})
             made[0].router.routing.flow_control.record_signals(one, REST, "c0")
@@ -169,7 +187,10 @@
 
     async def test_entry_that_goes_and_comes_back(self):
         """A rest and a departure stand, whatever the list does meanwhile."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one, two = servers[0].listed, servers[1].listed
             made[0].router.routing.flow_control.record_signals(one, REST, "c0")
             made[0].router.routing.flow_control.record_signals(two, LEAVES, "c0")
@@ -188,7 +209,7 @@
     async def admit(self, _server, _sending, _request_id, *, priority):
         return None
 
-    def settle(self, _server, _permit, *, was_written):
+    def release_permit(self, _server, _permit, *, was_written):
         assert not was_written
 
     def check_send(self, _server, _sending, _request_id, _permit):
@@ -204,12 +225,12 @@
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_all_rest(self, path, lines):
         """The answer comes at once: not run, and when the first rest ends."""
-        async with servers_and_machines(first_choice(path)) as (servers, made):
+        async with servers_and_instances(preferred_servers(path)) as (servers, made):
             gate = made[0].router.routing.flow_control
             for number, server in enumerate(servers):
                 word = REST._replace(backoff_s=20.0 - number)
                 gate.record_signals(server.listed, word, f"c{number}")
-            async with watched_lag() as lag:
+            async with measure_loop_lag() as lag:
                 started_s = clocks.now_s()
                 error = await made[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
@@ -227,29 +248,35 @@
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_who_does_not_rest_serves(self, path):
         """Nobody is turned away, and no retry spent, while one has room."""
-        async with servers_and_machines(first_choice(path)) as (servers, made):
+        async with servers_and_instances(preferred_servers(path)) as (servers, made):
             for server in servers[:-1]:
                 made[0].router.routing.flow_control.record_signals(
                     server.listed, REST, "c0"
                 )
-            got = await made[0].keep_asking(every_s=0.01, for_s=0.3, path=path)
+            got = await made[0].send_repeatedly(every_s=0.01, for_s=0.3, path=path)
             assert all(one.end == "whole" for one in got)
             assert all(server.arrived == [] for server in servers[:-1])
 
     async def test_guess_gives_way_to_a_promise(self):
         """A server that was slow is used rather than one that asked for rest."""
-        async with servers_and_machines(first_choice("/label/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/label/1")) as (
+            servers,
+            made,
+        ):
             routing = made[0].router.routing
             routing.flow_control.record_signals(servers[0].listed, REST, "c0")
-            routing.health.note("s2", Trouble.SILENT, now_s=clocks.now_s())
+            routing.health.record_fault("s2", ServerFault.SILENT, now_s=clocks.now_s())
             assert (await made[0].ask(path="/label/1")).end == "whole"
             assert servers[0].arrived == []
 
     async def test_who_has_refused_is_not_asked_again(self):
         """Without a figure a call is still not sent to the same server twice."""
-        async with servers_and_machines(first_choice("/label/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/label/1")) as (
+            servers,
+            made,
+        ):
             for server in servers:
-                server.asks_for = "0"
+                server.retry_after = "0"
             error = await made[0].ask(path="/label/1")
             assert error.ran == "no"
             assert [len(server.arrived) for server in servers] == [1, 1]
@@ -257,7 +284,10 @@
     async def test_wish_gives_way(self):
         """A server that limits what it gets is used where there is no other."""
         wish = ServerSignals(status=429, backoff_s=1.0)
-        async with servers_and_machines(first_choice("/label/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/label/1")) as (
+            servers,
+            made,
+        ):
             routing = made[0].router.routing
             routing.flow_control.record_signals(servers[0].listed, wish, "c0")
             await made[0].ask(path="/label/1")
@@ -370,7 +400,7 @@
 
     async def repath(server, call_id, path):
         try:
-            routing.flow_control.check_send(server, Sending.MOVE, call_id)
+            routing.flow_control.check_send(server, SendKind.MOVE, call_id)
         except KeptBackError:
             return OrderAnswer(OrderOutcome.KEPT_BACK)
         return await move(server, call_id, path)
@@ -431,7 +461,7 @@
         )
         routing.flow_control.record_signals(a, REST, "c1")
         with pytest.raises(KeptBackError):
-            routing.flow_control.check_send(a, Sending.CALL, "c2")
+            routing.flow_control.check_send(a, SendKind.CALL, "c2")
         (word,) = lines_of(lines, log_events.SERVER_WORD)
         assert (word["request_id"], word["asks_rest_s"], word["is_longer"]) == (
             "c1",
@@ -444,7 +474,7 @@
             "rest",
             "c1",
         )
-        assert kept == [(Sending.CALL, "rest")]
+        assert kept == [(SendKind.CALL, "rest")]
 
 
 LIMITED = ServerSignals(status=200, limit_per_s=0.5)
@@ -464,7 +494,10 @@
     @pytest.mark.parametrize("how", WAYS)
     async def test_every_way_needs_a_permit(self, how):
         """Nothing is written without one, and the caller of it learns that."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             hear(made[0], servers[0], LIMITED)
             assert await try_way(made[0].client, servers[0].listed, how)
             assert servers[0].arrived == []
@@ -472,7 +505,10 @@
     @pytest.mark.parametrize("how", WAYS)
     async def test_every_way_uses_a_permit_up(self, how):
         """It is counted with what all send."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             servers[0].limit_a_s = "50"
             hear(made[0], servers[0], WIDE)
             await try_way(made[0].client, servers[0].listed, "report")
@@ -488,12 +524,15 @@
 
     async def test_permit_lapses_while_a_connection_is_waited_for(self):
         """What was decided long before is not written; no connection is lost."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], WIDE)
             lapsed = Permit(clocks.now_s() - 0.01)
             with pytest.raises(KeptBackError):
-                gate.check_send(servers[0].listed, Sending.CALL, "c1", lapsed)
+                gate.check_send(servers[0].listed, SendKind.CALL, "c1", lapsed)
             slow_connects(made[0].kept, lambda _address: 0.3)
             gate.limits.permits.give_back("s1", Permit(clocks.now_s() + 0.1))
             with pytest.raises(KeptBackError):
@@ -502,7 +541,10 @@
 
     async def test_word_that_comes_while_a_connection_is_waited_for(self):
         """What was decided without a permit is not written then."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             slow_connects(made[0].kept, lambda _address: 0.2)
             sending = asyncio.create_task(
                 made[0].client.send(send_to(servers[0].listed))
@@ -515,33 +557,39 @@
 
     async def test_permit_that_is_not_used_is_kept(self):
         """The next send uses it, while it is good."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], LIMITED)
             permit = Permit(clocks.now_s() + 5.0)
-            gate.settle(servers[0].listed, permit, was_written=False)
-            assert await gate.admit(servers[0].listed, Sending.CALL, "c1") == permit
+            gate.release_permit(servers[0].listed, permit, was_written=False)
+            assert await gate.admit(servers[0].listed, SendKind.CALL, "c1") == permit
             with pytest.raises(KeptBackError):
-                await gate.admit(servers[0].listed, Sending.CALL, "c2")
+                await gate.admit(servers[0].listed, SendKind.CALL, "c2")
 
     async def test_no_permit_is_asked_for_a_server_that_rests(self):
         """It would be spent in vain."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], LIMITED)
             gate.record_signals(servers[0].listed, REST, "c0")
             with pytest.raises(KeptBackError) as caught:
-                await gate.admit(servers[0].listed, Sending.CALL, "c1")
+                await gate.admit(servers[0].listed, SendKind.CALL, "c1")
             assert caught.value.reason == "rest"
             assert len(gate.limits.keepers) == 0
 
     @pytest.mark.parametrize("path", ["/draft/1", "/label/1"])
     async def test_all_are_limited(self, path, lines):
         """At once: not run, when a permit is due, and which limits decided."""
-        async with servers_and_machines(first_choice(path)) as (servers, made):
+        async with servers_and_instances(preferred_servers(path)) as (servers, made):
             for number, server in enumerate(servers):
                 hear(made[0], server, LIMITED, f"c{number}")
-            async with watched_lag() as lag:
+            async with measure_loop_lag() as lag:
                 started_s = clocks.now_s()
                 error = await made[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
@@ -558,12 +606,15 @@
 
     async def test_urgent_request_asks_where_another_was_refused(self):
         """It is on a path that is closed to less urgent ones."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             routing = made[0].router.routing
             hear(made[0], servers[0], LIMITED)
             with pytest.raises(KeptBackError):
                 await routing.flow_control.admit(
-                    servers[0].listed, Sending.CALL, "c1", priority=2
+                    servers[0].listed, SendKind.CALL, "c1", priority=2
                 )
             now_s = clocks.now_s()
             assert set(routing.flow_control.blocked_s(priority=2, now_s=now_s)) == {
@@ -577,7 +628,10 @@
 
     async def test_no_retry_is_spent(self):
         """A send whose refusal is known costs nothing."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             routing = made[0].router.routing
             for server in servers[:-1]:
                 hear(made[0], server, LIMITED)
@@ -588,7 +642,10 @@
 
     async def test_limit_is_over(self):
         """The first answer that names none ends it; its server is left for a while."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], LIMITED)
             assert await try_way(made[0].client, servers[0].listed, "call")
@@ -602,7 +659,10 @@
 
     async def test_new_start_is_free(self):
         """Its limit goes with a start, as its rests do."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             one = servers[0].listed._replace(started_ms=5)
             made[0].list({one.id: one})
             servers[0].listed = one
@@ -616,7 +676,10 @@
 
     async def test_beside_a_rest(self):
         """Both words of one answer count."""
-        async with servers_and_machines(first_choice("/draft/1")) as (servers, made):
+        async with servers_and_instances(preferred_servers("/draft/1")) as (
+            servers,
+            made,
+        ):
             gate = made[0].router.routing.flow_control
             hear(made[0], servers[0], REST._replace(limit_per_s=2.4))
             assert set(gate.rests(now_s=clocks.now_s())) == {"s1"}
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from asking_servers import (
+from routing_samples import plain_server, runner
+from signaling_servers import (
     ID,
+    IN_FLIGHT_S,
     LEAVING_S,
-    UNDER_WAY_S,
-    join_machines,
-    most_within,
-    servers_and_machines,
+    join_instances,
+    max_within,
+    measure_loop_lag,
+    servers_and_instances,
     slow_connects,
-    watched_lag,
 )
-from routing_samples import plain_server, runner
 from violethatch import clocks
 from violethatch._send_checks import CheckedRequest
 
@@ -60,9 +60,9 @@
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
             change = self.rng.random()
             if change < 0.45:
-                self.server.asks_for = self.rng.choice(FIGURES)
+                self.server.retry_after = self.rng.choice(FIGURES)
             elif change < 0.85:
-                self.server.asks_for = None
+                self.server.retry_after = None
             elif change < 0.93:
                 self.server.is_leaving = True
             else:
@@ -83,7 +83,7 @@
     while clocks.now_s() < end_s:
         await asyncio.sleep(rng.uniform(0.2, 0.6))
         for server in servers:
-            server.asks_for = rng.choice(list(LENGTHS_S))
+            server.retry_after = rng.choice(list(LENGTHS_S))
 
 
 #: How late the list tells of a new start, in seconds.
@@ -182,7 +182,7 @@
         for what, at_s, arrived_ms in server.arrivals_by_start
         if what.startswith(machine)
         and arrived_ms == started_ms
-        and said_s + UNDER_WAY_S + lag_s <= at_s < said_s + LENGTHS_S.get(figure, 0.0)
+        and said_s + IN_FLIGHT_S + lag_s <= at_s < said_s + LENGTHS_S.get(figure, 0.0)
     ]
 
 
@@ -218,11 +218,11 @@
         *(plain_server(f"p{n}", started_ms=1) for n in range(2)),
     ]
     async with (
-        servers_and_machines(listed, machines=MACHINES, seed=seed) as (
+        servers_and_instances(listed, machines=MACHINES, seed=seed) as (
             servers,
             machines,
         ),
-        watched_lag() as lag,
+        measure_loop_lag() as lag,
     ):
         ledger = Ledger(monkeypatch, machines)
         end_s = clocks.now_s() + LASTS_S
@@ -235,7 +235,7 @@
         work = [one.run(end_s) for one in troubles]
         work += [all_ask(some, rng, end_s) for some in (servers[:3], servers[3:])]
         asking = [
-            one.keep_asking(every_s=0.02, for_s=LASTS_S, path=path)
+            one.send_repeatedly(every_s=0.02, for_s=LASTS_S, path=path)
             for one in machines
             for path in ("/draft/1", "/label/1")
         ]
@@ -307,7 +307,7 @@
                 if told_s + KNOWN_S + lag_s <= at_s < end_s
             ]
             allowed = max(1, int(SPAN_S * float(figure)))
-            most = most_within(came_s, SPAN_S - lag_s)
+            most = max_within(came_s, SPAN_S - lag_s)
             if most > allowed:
                 found.append((figure, most, allowed))
         return found
@@ -330,13 +330,13 @@
         *(plain_server(f"p{n}") for n in range(2)),
     ]
     async with (
-        servers_and_machines(listed, machines=LIMIT_MACHINES, seed=seed) as (
+        servers_and_instances(listed, machines=LIMIT_MACHINES, seed=seed) as (
             servers,
             machines,
         ),
-        watched_lag() as lag,
+        measure_loop_lag() as lag,
     ):
-        join_machines(machines, seed=seed).lost_part = LOST_PART
+        join_instances(machines, seed=seed).lost_part = LOST_PART
         end_s = clocks.now_s() + LIMITS_LAST_S
         for machine in machines:
             for session in (machine.kept, machine.fresh):
@@ -345,7 +345,7 @@
                 )
         troubles = [LimitTrouble(one, rng) for one in servers]
         asking = [
-            one.keep_asking(every_s=0.05, for_s=LIMITS_LAST_S, path=path)
+            one.send_repeatedly(every_s=0.05, for_s=LIMITS_LAST_S, path=path)
             for one in machines
             for path in ("/draft/1", "/label/1")
         ]
