--- a/src/violethatch/retry_after.py
+++ b/src/violethatch/retry_after.py
@@ -30,9 +30,9 @@
     """What a server's figures come to.
 
     Attributes:
-        length_s: For how long it wants nothing, in seconds; None if it doesn't tell.
-        unread: A figure that can't be understood, shortened; empty if there is none.
-        is_cut: Whether it asked for more than is kept.
+        delay_s: For how long it wants nothing, in seconds; None if it doesn't tell.
+        invalid: A figure that can't be understood, shortened; empty if there is none.
+        exceeds_max: Whether it asked for more than is kept.
 
     .. versionadded:: 26.5.0
     """
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -10,7 +10,7 @@
 
 from router_fakes import FakeClient, make_routing, report
 from routing_samples import plain_server, runner
-from violethatch import _health_checks, clocks, runner_paces
+from violethatch import _health_checks, clocks, slow_runners
 from violethatch._health_checks import HealthCheckLoop
 from violethatch.runner_health import ServerFault
 
@@ -103,7 +103,7 @@
 
     async def test_slow_runner_is_asked_again(self, monkeypatch):
         """Until it says that it is quick."""
-        monkeypatch.setattr(runner_paces, "_ASK_AGAIN_S", 0.0)
+        monkeypatch.setattr(slow_runners, "_ASK_AGAIN_S", 0.0)
         client = FakeClient()
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
--- a/tests/test_sightings.py
+++ b/tests/test_sightings.py
@@ -132,7 +132,7 @@
 
     async def test_bounded_rate(self, monkeypatch):
         """Trouble everywhere doesn't fill the links."""
-        monkeypatch.setattr(_sighting_link, "_GATHER_S", 0.0)
+        monkeypatch.setattr(_fault_report_link, "_GATHER_S", 0.0)
         links, _ = await self.pair()
         sent = []
         links[0]._datagrams._transport = type(
@@ -141,7 +141,7 @@
         for n in range(300):
             links[0].broadcast(FaultReport(f"s{n}", ServerFault.NAMED, 1.0))
             await asyncio.sleep(0.001)
-        assert len(sent) <= 2 * _sighting_link._MOST_A_SECOND
+        assert len(sent) <= 2 * _fault_report_link._MOST_A_SECOND
 
     async def test_word_of_an_earlier_start_comes_late(self):
         """What another instance had met is over, and the new start is used."""
