--- a/src/violethatch/paths.py
+++ b/src/violethatch/paths.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from ._segments import Segment, segments
+from ._segments import Segment, split_into_segments
 from .backends import BackendServer
 from .engine_model import HOP_MS, EngineSpec
 from .layers import LayerRange, tiles
@@ -173,7 +173,7 @@
             holder for holder in holders if holder.layers and holder.layers.first == 0
         ]
         self._zones = sorted({holder.availability_zone for holder in holders})
-        self._segments = segments(holders, engine)
+        self._segments = split_into_segments(holders, engine)
         self._prefill_ms = {
             name: _PREFILL_WEIGHT
             * engine.usual_prefill_ms(kind, 1)
@@ -189,7 +189,7 @@
     @property
     def first_server_count(self) -> int:
         """The number of runners at which a path may begin."""
-        return len(self._segments[0].holdings) if self._segments else 0
+        return len(self._segments[0].runners) if self._segments else 0
 
     def find(
         self,
@@ -339,7 +339,7 @@
         prefix: The required first stage, if any.
     """
     extended: dict[str, _PartialPath] = {}
-    for server, step_ms in segment.holdings:
+    for server, step_ms in segment.runners:
         if server.id in context.excluded:
             continue
         if prefix is not None and not prefix.allows(server, segment.layers):
--- a/tests/signaling_servers.py
+++ b/tests/signaling_servers.py
@@ -254,7 +254,7 @@
 
     def list(self, values, *, is_whole=False):
         """Tell the instance of the list, or of its changes."""
-        self.router.take_servers(TableView(values, 1, 0.0), is_whole)
+        self.router.apply_server_list(TableView(values, 1, 0.0), is_whole)
 
     async def ask(self, *, path="/draft/1", **changes):
         """Send a request; return its answer or the error, and how long it took."""
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -39,7 +39,7 @@
     for rank in range(count):
         routing = make_routing(FakeClient(), *servers, rng=random.Random(rank))
         position = ZonePosition((rank + 0.5) / count, count)
-        routing.know_instances(
+        routing.set_instance_sources(
             count=lambda: count, place=lambda position=position: position
         )
         routings.append(routing)
@@ -114,7 +114,7 @@
         """Parts that were assigned before the failure are not used."""
         (routing,) = make_routings(1, *LOCAL)
         first = routing.path(SERVICE).first
-        routing.note_trouble(first, ServerFault.SILENT, "c1", "gives no report")
+        routing.record_fault(first, ServerFault.SILENT, "c1", "gives no report")
         assert routing.path(SERVICE).first.id != first.id
 
 
@@ -213,7 +213,7 @@
         for _ in range(20):
             routing.loads.started(usual, 900.0, crossing_ms=0.0, now_s=clocks.now_s())
         for number in range(30):
-            isolated = routing.path_apart(
+            isolated = routing.isolated_path(
                 SERVICE, avoided=frozenset(), trait=f"w{number}"
             )
             assert isolated.first.id != usual.first.id
@@ -222,7 +222,7 @@
         """On the same server they could not be distinguished after another crash."""
         (routing,) = make_routings(1, *LOCAL, *REMOTE)
         firsts = {
-            routing.path_apart(
+            routing.isolated_path(
                 SERVICE, avoided=frozenset(), trait=f"w{number}"
             ).first.id
             for number in range(30)
@@ -232,7 +232,7 @@
     def test_instances_select_the_same_server_for_a_trait(self):
         """Repeats at other instances don't affect more servers."""
         firsts = {
-            routing.path_apart(SERVICE, avoided=frozenset(), trait="w").first.id
+            routing.isolated_path(SERVICE, avoided=frozenset(), trait="w").first.id
             for routing in make_routings(6, *LOCAL, *REMOTE)
         }
         assert len(firsts) == 1
@@ -241,7 +241,7 @@
         """There is no isolated path if all first runners are excluded."""
         (routing,) = make_routings(1, *LOCAL)
         firsts = frozenset(f"n{chain}-0" for chain in range(3))
-        assert routing.path_apart(SERVICE, avoided=firsts, trait="w") is None
+        assert routing.isolated_path(SERVICE, avoided=firsts, trait="w") is None
 
 
 class TestNewDesiredStates:
