--- a/src/violethatch/silence_detection.py
+++ b/src/violethatch/silence_detection.py
@@ -32,7 +32,7 @@
     """What an instance's streams show of runners.
 
     Args:
-        longest_silence_s: How long a runner that shows nothing counts as well at
+        max_silence_s: How long a runner that shows nothing counts as well at
             most, in seconds; also the usual time between events until some were seen.
 
     .. versionadded:: 26.2.0
