--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -86,7 +86,7 @@
         self.flow_control.on_leaving = self._note_leaving
         client.gate = self.flow_control
         #: Told of each refusal: its trouble, and whether the server rested already.
-        self.on_refusal: Callable[[ServerFault, bool], None] = lambda _trouble, _rests: (
+        self.on_refusal: Callable[[ServerFault, bool], None] = lambda _fault, _rests: (
             None
         )
         #: Told of each run that counted as silent: by what finding, and what came then.
--- a/src/violethatch/platform/_words.py
+++ b/src/violethatch/platform/_words.py
@@ -43,7 +43,7 @@
         )
     leaving = [value.strip() for value in headers.getall(_headers.LEAVING, ())]
     limit = parse_limit(headers.getall(_headers.LIMIT, ()))
-    is_cut = [f"{asked.length_s:g} s at the most"] if asked.exceeds_max else []
+    is_cut = [f"{asked.delay_s:g} s at the most"] if asked.exceeds_max else []
     unread = [
         *filter(None, (asked.invalid,)),
         *is_cut,
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -30,7 +30,7 @@
 
 async def silent(probes, *servers):
     """Return the servers that are found silent."""
-    return (await probes.probe(servers, within_s=5.0)).silent
+    return (await probes.probe(servers, timeout_s=5.0)).silent
 
 
 class TestProbes:
--- a/tests/test_sightings.py
+++ b/tests/test_sightings.py
@@ -10,7 +10,7 @@
 
 from own_ports import free_ports
 from test_instances import entry
-from violethatch import clocks
+from violethatch import _fault_report_link, clocks
 from violethatch._fault_report_link import FaultReportLink
 from violethatch._peer_datagrams import PeerDatagrams
 from violethatch.fault_reports import FaultReport, FaultReportReceiver, should_broadcast
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -768,7 +768,7 @@
         routing = make_routing(FakeClient(), A, B, rng=random.Random(1))
         now_s = clocks.now_s()
         routing.health.record_fault("a", ServerFault.SILENT, now_s=now_s)
-        routing.paces.record_fault("a", 9.0, now_s=now_s)
+        routing.paces.record("a", 9.0, now_s=now_s)
         routing.handle_restarts([A])
         assert not routing.health.in_cooldown(now_s=now_s)
         assert not routing.paces.slow(now_s=now_s)
