--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -198,7 +198,7 @@
         capacity = 96
         routings = make_routings(60, *self.FAST, *self.SLOW)
         for routing in routings:
-            routing.instances = lambda: 180
+            routing.instance_count = lambda: 180
         fast = sum(routing.path(SERVICE).first.id == "q0" for routing in routings)
         assert 0 < fast * 2 <= 0.6 * capacity * 180 / 60
 
