--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -156,7 +156,7 @@
         flow_control: FlowController,
         paces: SlowRunners,
         loads: StreamLoads,
-        pipe: PipeShare,
+        zone_link: PipeShare,
         instances: Callable[[], int],
     ) -> None:
         self._zone = zone
@@ -165,7 +165,7 @@
         self._flow_control = flow_control
         self._paces = paces
         self._loads = loads
-        self._pipe = pipe
+        self._pipe = zone_link
         self._instances = instances
         self._unreported = UnreportedStreams()
         self._maps: dict[str, _LayerMaps] = {}
--- a/src/violethatch/_pace_link.py
+++ b/src/violethatch/_slow_runner_link.py
@@ -12,7 +12,7 @@
 _MOST_A_SECOND = 5
 
 
-class PaceLink:
+class SlowRunnerLink:
     """Tells all instances what runners have said, and takes their words in.
 
     Args:
--- a/src/violethatch/backends.py
+++ b/src/violethatch/backends.py
@@ -89,7 +89,7 @@
         """Return a server, if it is listed."""
         return self._servers.get(server_id)
 
-    def store_returned(self, *, now_s: float) -> None:
+    def record_store_recovery(self, *, now_s: float) -> None:
         """Note that the store answers again after it had not."""
         self._store_returned_s = now_s
 
--- a/tests/signaling_servers.py
+++ b/tests/signaling_servers.py
@@ -55,7 +55,7 @@
     """How late the loop is, at the most: servers and instances of a test share it."""
 
     def __init__(self):
-        self.most_s = 0.0
+        self.max_s = 0.0
         #: From when until when it stood still.
         self._holds = []
 
@@ -90,7 +90,7 @@
             await asyncio.sleep(0.01)
             now_s = clocks.now_s()
             late_s = now_s - before_s - 0.01
-            self.most_s = max(self.most_s, late_s)
+            self.max_s = max(self.max_s, late_s)
             if late_s >= MIN_STALL_S:
                 self._holds.append((now_s - late_s, now_s))
 
@@ -127,9 +127,9 @@
         #: When it first answered with its word.
         self.first_signal_s = None
         #: What it has said to which machine, when and in which start of it.
-        self.words = []
-        self.ran = []
-        self.departures = []
+        self.backoff_requests = []
+        self.accepted = []
+        self.shutdown_reports = []
         self.arrivals_by_start = []
         self._serving = None
 
@@ -149,7 +149,7 @@
         """Listen no more."""
         await self._serving.cleanup()
 
-    def start_again(self, started_ms):
+    def restart(self, started_ms):
         """Be another start under the same id, which has said nothing yet."""
         self.listed = self.listed._replace(started_ms=started_ms)
         self.retry_after = None
@@ -193,9 +193,11 @@
             self.first_signal_s = self.first_signal_s or now_s
         machine = heads[ID].partition("-")[0]
         if "Server-Leaving" in heads:
-            self.departures.append((machine, now_s, started_ms))
+            self.shutdown_reports.append((machine, now_s, started_ms))
         if "Retry-After" in heads:
-            self.words.append((machine, now_s, heads["Retry-After"], started_ms))
+            self.backoff_requests.append(
+                (machine, now_s, heads["Retry-After"], started_ms)
+            )
         return web.Response(headers=heads, **answer)
 
     async def _report(self, request):
@@ -219,7 +221,7 @@
         if self.retry_after is not None:
             heads |= {"Violethatch-Not-Executed": "1", "Retry-After": self.retry_after}
             return self._answer(heads, started_ms, status=503)
-        self.ran.append(call_id)
+        self.accepted.append(call_id)
         await asyncio.sleep(self.work_s())
         is_plain = request.path.startswith("/label/")
         body = b"done" if is_plain else b"id: 1\ndata: 1\n\n"
@@ -332,11 +334,13 @@
 
 
 @contextlib.asynccontextmanager
-async def servers_and_instances(listed, *, machines=1, seed=1):
+async def servers_and_instances(listed, *, instance_count=1, seed=1):
     """Provide servers that listen, and instances that know them."""
     servers = [SignalingServer(one) for one in listed]
     await asyncio.gather(*(one.start() for one in servers))
-    made = [RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(machines)]
+    made = [
+        RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(instance_count)
+    ]
     try:
         yield servers, made
     finally:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -38,7 +38,7 @@
         """Soon after the store's return an entry may go and come back."""
         table = BackendTable()
         table.apply_changes([plain_server("a")], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         assert table.apply_changes([], ["a"], now_s=10.5).lost == ()
         table.expire(now_s=11.0)
         assert ids(table) == {"a"}
@@ -50,7 +50,7 @@
         """The grace ends."""
         table = BackendTable()
         table.apply_changes([plain_server("a")], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         table.apply_changes([], ["a"], now_s=10.5)
         assert table.expire(now_s=10.5 + LAPSE_GRACE_S) == ("a",)
         assert ids(table) == set()
@@ -59,14 +59,14 @@
         """Who was leaving is gone when its entry goes."""
         table = BackendTable()
         table.apply_changes([plain_server("a", is_leaving=True)], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         assert table.apply_changes([], ["a"], now_s=10.5).lost == ("a",)
 
     def test_grace_is_only_for_a_while(self):
         """Long after the store's return, entries go at once."""
         table = BackendTable()
         table.apply_changes([plain_server("a")], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         late_s = 10.0 + LAPSE_WINDOW_S
         assert table.apply_changes([], ["a"], now_s=late_s).lost == ("a",)
 
--- a/tests/test_pace_link.py
+++ b/tests/test_pace_link.py
@@ -4,8 +4,8 @@
 from __future__ import annotations
 
 from test_instances import entry
-from violethatch._pace_link import PaceLink
 from violethatch._peer_datagrams import PaceDatagram, PeerDatagrams
+from violethatch._slow_runner_link import SlowRunnerLink
 from violethatch.instances import InstanceDirectory
 from violethatch.slow_runners import SlowRunners
 
@@ -30,21 +30,21 @@
     def test_word_goes_to_all(self):
         """Each other instance is told once."""
         wire = Wire("i0", "i1", "i2")
-        PaceLink(wire, SlowRunners()).broadcast("a", 12.0)
+        SlowRunnerLink(wire, SlowRunners()).broadcast("a", 12.0)
         assert wire.sent == [("i1", "a", 12.0), ("i2", "a", 12.0)]
 
     def test_word_is_taken(self):
         """A runner that is slow for one instance is slow for all."""
         paces = SlowRunners()
         wire = Wire()
-        PaceLink(wire, paces)
+        SlowRunnerLink(wire, paces)
         wire.take(PaceDatagram("t", "i1", "a", 12.0))
         assert paces.slow(now_s=0.0) == {"a": 12.0}
 
     def test_bounded_rate(self):
         """However many runners are slow, the links are not filled."""
         wire = Wire("i1")
-        link = PaceLink(wire, SlowRunners())
+        link = SlowRunnerLink(wire, SlowRunners())
         for n in range(100):
             link.broadcast(f"s{n}", 12.0)
         assert len(wire.sent) <= 10
@@ -53,7 +53,7 @@
         """Nothing is lost on the way through the socket's protocol."""
         paces = SlowRunners()
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
-        PaceLink(datagrams, paces)
+        SlowRunnerLink(datagrams, paces)
         sent = []
         sender = PeerDatagrams(InstanceDirectory(entry("i1")))
         sender.connection_made(
