--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -148,8 +148,8 @@
         for server in LOCAL[:4]:
             routing.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
         routing.health.record_fault("n1-2", ServerFault.FULL, now_s=now_s)
-        assert routing.blocked(SERVICE).remaining_s <= 0.3
-        assert routing.blocked(SERVICE).remaining_s > 0.0
+        assert routing.blocked_time(SERVICE).remaining_s <= 0.3
+        assert routing.blocked_time(SERVICE).remaining_s > 0.0
 
     def test_earliest_available_path(self):
         """It is neither the fastest path nor the one with the fewest cooldowns."""
@@ -159,21 +159,21 @@
             signals = ServerSignals(status=503, backoff_s=backoff_s, is_binding=True)
             routing.flow_control.record_signals(server, signals, "c1")
         for _ in range(2):
-            blocked = routing.blocked(SERVICE)
+            blocked = routing.blocked_time(SERVICE)
             assert 1.8 <= blocked.requested_s <= 2.0
             assert blocked.remaining_s == blocked.requested_s
         routing.flow_control.record_signals(
             LOCAL[1], ServerSignals(status=503, backoff_s=1.0, is_binding=True), "c2"
         )
-        assert routing.blocked(SERVICE).requested_s <= 2.0
+        assert routing.blocked_time(SERVICE).requested_s <= 2.0
         for server in (LOCAL[3], LOCAL[7]):
             routing.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
-        assert 2.0 <= routing.blocked(SERVICE).remaining_s <= 3.0
+        assert 2.0 <= routing.blocked_time(SERVICE).remaining_s <= 3.0
 
     def test_no_time_for_missing_layers(self):
         """The return of a layer without a holder can't be predicted."""
         (routing,) = make_routings(1, *LOCAL[:3])
-        assert routing.blocked(SERVICE) is None
+        assert routing.blocked_time(SERVICE) is None
 
 
 class TestFastChainOfAnotherZone:
