--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -170,9 +170,9 @@
             service: A service with an engine.
             avoided: Runners to leave alone beside the resting ones.
             first: The runner that has to come first, if one has to.
-            kept: The path that the request is on, if it moves from one.
-            may_doubt: Whether runners that may only be full are used where the
-                others don't hold all layers.
+            current_path: The path that the request is on, if it moves from one.
+            include_possibly_full: Whether runners that may only be full are used where
+                the others don't hold all layers.
             priority: The request's; 0 is the most urgent.
         """
         self.expire()
@@ -450,7 +450,7 @@
             server_id: Who is at fault.
             refusal: The server's word.
             request_id: Names the call.
-            is_told_by_other: Whether that word is another server's.
+            is_reported_by_peer: Whether that word is another server's.
         """
         trouble = _trouble_of(refusal, is_told_by_other=is_reported_by_peer)
         server = self.backends.get(server_id)
