--- a/src/violethatch/_chains.py
+++ b/src/violethatch/_chains.py
@@ -87,7 +87,7 @@
     Args:
         hosts: The group.
         engine: The engine's cost model.
-        known: Cache of splits for the same engine; new splits are added to it.
+        split_cache: Cache of splits for the same engine; new splits are added to it.
     """
     splits = {} if split_cache is None else split_cache
     best: list[Chain] = []
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -143,7 +143,7 @@
         flow_control: Back-offs and limits that runners requested.
         paces: Slowdowns of runners.
         loads: Utilization of runners.
-        pipe: Decides which requests may use the link between zones.
+        zone_link: Decides which requests may use the link between zones.
         instances: Returns the number of known serving instances; 0 if none is known.
     """
 
@@ -163,9 +163,9 @@
         self._backends = backends
         self._health = health
         self._flow_control = flow_control
-        self._paces = paces
+        self._slow_runners = paces
         self._loads = loads
-        self._pipe = zone_link
+        self._zone_link = zone_link
         self._instances = instances
         self._unreported = UnreportedStreams()
         self._maps: dict[str, _LayerMaps] = {}
@@ -320,7 +320,7 @@
         now_s = clocks.now_s()
         maps = self._layer_maps(service, service.engine)
         unavailable = self._health.excluded(now_s=now_s)
-        slowdowns = self._paces.slow(now_s=now_s)
+        slowdowns = self._slow_runners.slow(now_s=now_s)
         cached = self._rooms.get(service.name)
         if cached is None or not cached.is_valid(maps, unavailable, slowdowns, targets):
             computed = room(
@@ -402,7 +402,7 @@
         return _SearchInput(
             excluded,
             current_path,
-            self._paces.slow(now_s=now_s),
+            self._slow_runners.slow(now_s=now_s),
             self._loads.pipe_fullness(now_s=now_s),
         )
 
@@ -536,7 +536,7 @@
         """Return whether this instance's share of the zone link permits a path."""
         transfer_ms = maps.all_zones.engine.zone_transfer_ms
         cost_ms = path.zone_hops * transfer_ms * max(1, self._instances())
-        return self._pipe.may_cross(cost_ms, now_s=now_s)
+        return self._zone_link.may_cross(cost_ms, now_s=now_s)
 
     def _find(
         self,
