--- a/src/violethatch/_retrying_reader.py
+++ b/src/violethatch/_retrying_reader.py
@@ -31,7 +31,7 @@
 
     Args:
         store: Reads the store.
-        on_lost: Called with the table of each read that is lost.
+        on_read_lost: Called with the table of each read that is lost.
     """
 
     def __init__(
