--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -343,7 +343,7 @@
             if server.id not in unavailable
         )
 
-    def fullness_of_first(self, service: ServiceSpec, path: Path) -> float:
+    def first_server_utilization(self, service: ServiceSpec, path: Path) -> float:
         """Return the utilization of a path's first runner."""
         assert service.engine is not None
         return self._loads.fullness(path.first, service.engine, now_s=clocks.now_s())
