--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -287,7 +287,11 @@
     """Return an instance's admission to one service, at so many running streams."""
     fixed = _Fixed(streams)
     made = Admission(
-        AdmissionSection(), capacity=fixed, peers=fixed, returns=fixed, phase=0.5
+        AdmissionSection(),
+        capacity=fixed,
+        peers=fixed,
+        returns=fixed,
+        phase=0.5,
     )
     services = {"model": ServiceSpec("model", 1000, _ENGINE)}
     desired = _Desired(services, {}, (route(0), route(_LEVEL)))
