--- a/src/violethatch/_retry_budgets.py
+++ b/src/violethatch/_retry_budgets.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One instance's retry budgets, one for each service."""
+"""An instance's retry budgets by service."""
 
 from __future__ import annotations
 
@@ -11,20 +11,19 @@
 from .router_settings import RouterSettings
 
 
-#: How long a request waits for retries that others give, in seconds: some ways there
-#: and back, as many may want the same ones.
-_RETRY_WAIT_S = 0.15
-#: Retries that an instance saves up in the moment after its start, until it has read
-#: how many others there are.
-_UNKNOWN_RESERVE = 1.0
+#: How long a request waits for granted retries, in seconds: a few round trips, as
+#: concurrent requests may compete for the same grants.
+_GRANT_TIMEOUT_S = 0.15
+#: Reserve after the start, until the number of instances is known.
+_INITIAL_RESERVE = 1.0
 
 
 class RetryBudgets:
-    """Pays for second sends, with what other instances give where there are any.
+    """Accounts for retries, including those granted by other instances.
 
     Args:
-        settings: The router's.
-        is_usable: Tells whether a service has servers that may get new work.
+        settings: The router's settings.
+        is_usable: Returns whether a service has servers that accept new requests.
     """
 
     def __init__(
@@ -32,47 +31,47 @@
     ) -> None:
         self.settings = settings
         self._is_usable = is_usable
-        #: Tells how many instances are known to serve; None where none is told of.
+        #: Returns the number of known serving instances; None for a single instance.
         self.instances: Callable[[], int] | None = None
-        #: Asks other instances for a service's retries, where there are any.
-        self.ask_for_retries: Callable[[str], Awaitable[bool]] = _ask_nobody
+        #: Requests retries for a service from other instances.
+        self.ask_for_retries: Callable[[str], Awaitable[bool]] = _grant_nothing
         self._budgets: dict[str, RetryShare] = {}
 
     def count_request(self, service: str) -> None:
-        """Note a caller's request, which earns a part of a retry."""
+        """Count a caller's request, which adds a fraction of a retry."""
         budget = self.budget(service).own
         budget.resize(self._reserve())
         budget.deposit()
 
     async def may_retry(self, service: str) -> bool:
-        """Take a retry from the service's budget; tell whether there was one."""
+        """Withdraw a retry of a service; return whether one was available."""
         budget = self.budget(service)
-        give_up_s = clocks.now_s() + _RETRY_WAIT_S
+        deadline_s = clocks.now_s() + _GRANT_TIMEOUT_S
         while budget.left(now_s=clocks.now_s()) < 1.0:
-            is_given = await self.ask_for_retries(service)
-            if not is_given or clocks.now_s() >= give_up_s:
+            is_granted = await self.ask_for_retries(service)
+            if not is_granted or clocks.now_s() >= deadline_s:
                 break
-        is_paid = budget.withdraw(now_s=clocks.now_s())
-        if not is_paid:
+        is_available = budget.withdraw(now_s=clocks.now_s())
+        if not is_available:
             events.log(events.RETRIES_SPENT, service=service)
-        return is_paid
+        return is_available
 
     def return_retry(self, service: str) -> None:
-        """Take back a retry that was paid for a send which was kept back."""
+        """Return a retry whose send was rejected before it started."""
         self.budget(service).own.give_back()
 
-    def give_retries(self, service: str, wanted: float) -> float:
-        """Take off and return what another instance gets of a service's retries."""
+    def give_retries(self, service: str, requested: float) -> float:
+        """Withdraw and return the retries of a service granted to another instance."""
         if service not in self._budgets and not self._is_usable(service):
             return 0.0
-        return self.budget(service).give(wanted)
+        return self.budget(service).give(requested)
 
     def take_retries(self, service: str, amount: float) -> None:
-        """Take in what another instance has taken off its part."""
+        """Add retries that another instance has granted."""
         self.budget(service).take(amount, now_s=clocks.now_s())
 
     def budget(self, service: str) -> RetryShare:
-        """Return this instance's part of a service's retries."""
+        """Return this instance's share of a service's retries."""
         budget = self._budgets.get(service)
         if budget is None:
             ratio = self.settings.bounds.retry_ratio * self.settings.policy.retry_part
@@ -81,15 +80,15 @@
         return budget
 
     def _reserve(self) -> float:
-        """Return this instance's part of the retries that all may save up."""
+        """Return this instance's share of the total retry reserve."""
         policy = self.settings.policy
         if self.instances is None:
             return policy.retry_reserve
-        part = self.settings.bounds.retry_slack * policy.retry_slack_part
-        instances = self.instances()
-        return part / instances if instances else _UNKNOWN_RESERVE
+        total = self.settings.bounds.retry_slack * policy.retry_slack_part
+        instance_count = self.instances()
+        return total / instance_count if instance_count else _INITIAL_RESERVE
 
 
-async def _ask_nobody(_service: str) -> bool:
-    """Stand in for other instances where there are none."""
+async def _grant_nothing(_service: str) -> bool:
+    """Return that nothing was granted: the default without other instances."""
     return False
--- a/src/violethatch/_retry_link.py
+++ b/src/violethatch/_retry_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Asks other instances for retries, and gives them some."""
+"""Requests retries from other instances and grants them some."""
 
 from __future__ import annotations
 
@@ -16,41 +16,41 @@
 from .running_time import LATE_S
 
 
-#: How many instances are asked at once, near ones first.  Each gives up to a half of
-#: its part, so that six of 64 give some eight retries, and six of 350 one or two.
-_ASKED = 6
-#: How long an answer may take, in seconds: a way there and back between zones, and
-#: the time of day that small instances are late by.  The stream waits for it.
-_ANSWER_S = 0.05
-#: How many retries are asked for at a time.
-_WANTED = 8.0
+#: Number of instances in one request, those of the own zone first.  Each grants up to
+#: half of its share: six of 64 grant about eight retries, six of 350 one or two.
+_MAX_PEERS = 6
+#: Response timeout, in seconds: a round trip between zones and the event-loop delays
+#: of small instances.  The stream is delayed by it.
+_TIMEOUT_S = 0.05
+#: Retries per request.
+_REQUESTED_RETRIES = 8.0
 
 
 class Account(Protocol):
-    """An instance's retries, by service."""
+    """An instance's retry budgets by service."""
 
-    def give_retries(self, service: str, wanted: float) -> float:
-        """Take off and return what another instance gets."""
+    def give_retries(self, service: str, requested: float) -> float:
+        """Withdraw and return the amount granted to another instance."""
 
     def take_retries(self, service: str, amount: float) -> None:
-        """Take in what another instance has taken off its part."""
+        """Add an amount that another instance has granted."""
 
 
-class _Asked(NamedTuple):
-    """A question: whom it went to, of those who have not answered, and who waits."""
+class _PendingRequest(NamedTuple):
+    """A pending request: peers yet to respond, and futures to resolve."""
 
     service: str
     peers: set[str]
-    waiting: list[asyncio.Future[None]]
+    waiters: list[asyncio.Future[None]]
 
 
 class RetryLink:
-    """Moves retries between instances.
+    """Transfers retries between instances.
 
     Args:
-        datagrams: Carries them.
-        account: This instance's own.
-        rng: Chooses whom to ask.
+        datagrams: The transport.
+        account: This instance's retry budgets.
+        rng: Selects the peers.
     """
 
     def __init__(
@@ -60,100 +60,105 @@
         self._account = account
         self._rng = rng
         self._numbers = itertools.count(rng.getrandbits(31))
-        self._asked: dict[int, _Asked] = {}
-        #: By service, the question that others wait for as well.
-        self._open: dict[str, _Asked] = {}
-        datagrams.on(RetryAskDatagram, self._take_question)
-        datagrams.on(RetryGiftDatagram, self._take_gift)
+        self._pending: dict[int, _PendingRequest] = {}
+        #: By service, the request that concurrent callers share.
+        self._shared: dict[str, _PendingRequest] = {}
+        datagrams.on(RetryAskDatagram, self._handle_request)
+        datagrams.on(RetryGiftDatagram, self._handle_grant)
 
     async def ask(self, service: str) -> bool:
-        """Ask others for retries; tell whether one has given some before too long.
+        """Request retries from peers; return whether any were granted in time.
 
-        What came while this instance stood still is too old: others are asked again.
+        Grants that arrived during a stall of the event loop may be too old, so that
+        the request is repeated after a stall.
         """
-        asked_s = clocks.now_s()
-        if await self._ask_once(service):
+        started_s = clocks.now_s()
+        if await self._request_once(service):
             return True
-        stood_still = clocks.now_s() - asked_s > _ANSWER_S + LATE_S
-        return stood_still and await self._ask_once(service)
+        has_stalled = clocks.now_s() - started_s > _TIMEOUT_S + LATE_S
+        return has_stalled and await self._request_once(service)
 
-    async def _ask_once(self, service: str) -> bool:
-        """Ask others once; tell whether one has given some in time."""
-        question = self._open.get(service) or self._send(service)
-        if question is None:
+    async def _request_once(self, service: str) -> bool:
+        """Send or join one request; return whether a grant arrived in time."""
+        pending = self._shared.get(service) or self._send(service)
+        if pending is None:
             return False
-        given = asyncio.get_running_loop().create_future()
-        question.waiting.append(given)
-        # Who asked logs it if nothing was left.
-        return await running_time.wait((given,), limit_s=_ANSWER_S)
-
-    def _send(self, service: str) -> _Asked | None:
-        """Ask some others; None where there is nobody."""
-        peers = self._chosen()
+        granted = asyncio.get_running_loop().create_future()
+        pending.waiters.append(granted)
+        # The caller logs a failed request.
+        return await running_time.wait((granted,), limit_s=_TIMEOUT_S)
+
+    def _send(self, service: str) -> _PendingRequest | None:
+        """Send a request to selected peers; return None without peers."""
+        peers = self._select_peers()
         if not peers:
             return None
         number = next(self._numbers)
-        question = _Asked(service, {one.id for one in peers}, [])
-        self._asked[number] = question
-        self._open[service] = question
-        running_time.call_later(_ANSWER_S, functools.partial(self._forget, number))
+        pending = _PendingRequest(service, {peer.id for peer in peers}, [])
+        self._pending[number] = pending
+        self._shared[service] = pending
+        running_time.call_later(_TIMEOUT_S, functools.partial(self._expire, number))
         own_id = self._datagrams.directory.own.id
         for peer in peers:
-            message = RetryAskDatagram(peer.token, own_id, number, service, _WANTED)
+            message = RetryAskDatagram(
+                peer.token, own_id, number, service, _REQUESTED_RETRIES
+            )
             self._datagrams.send(peer, message)
-        return question
+        return pending
 
-    def _chosen(self) -> list[InstanceEntry]:
-        """Return whom to ask: some of the own zone, and some of all."""
+    def _select_peers(self) -> list[InstanceEntry]:
+        """Return the peers to query: some of the own zone, and some of any zone."""
         directory = self._datagrams.directory
         others = directory.others()
         if not self._datagrams.is_open or not others:
             return []
         zone = directory.own.availability_zone
-        near = [one for one in others if one.availability_zone == zone]
-        chosen = self._rng.sample(near, min(len(near), _ASKED // 2))
-        rest = [one for one in others if one not in chosen]
-        return chosen + self._rng.sample(rest, min(len(rest), _ASKED - len(chosen)))
-
-    def _forget(self, number: int) -> None:
-        """Let go of a question: what comes later does not count."""
-        self._close(self._asked.pop(number))
-
-    def _close(self, question: _Asked) -> None:
-        """Ask anew the next time, others than those who were asked."""
-        if self._open.get(question.service) is question:
-            del self._open[question.service]
-
-    def _take_question(self, message: RetryAskDatagram) -> None:
-        """Give another instance some retries, if there are any."""
+        local = [peer for peer in others if peer.availability_zone == zone]
+        selected = self._rng.sample(local, min(len(local), _MAX_PEERS // 2))
+        remaining = [peer for peer in others if peer not in selected]
+        return selected + self._rng.sample(
+            remaining, min(len(remaining), _MAX_PEERS - len(selected))
+        )
+
+    def _expire(self, number: int) -> None:
+        """Discard a request; later grants are ignored."""
+        self._stop_sharing(self._pending.pop(number))
+
+    def _stop_sharing(self, pending: _PendingRequest) -> None:
+        """Stop sharing a request, so that the next one selects new peers."""
+        if self._shared.get(pending.service) is pending:
+            del self._shared[pending.service]
+
+    def _handle_request(self, message: RetryAskDatagram) -> None:
+        """Grant retries to another instance, if available."""
         amount = self._account.give_retries(message.service, message.wanted)
         if not amount:
             return
         directory = self._datagrams.directory
         peer = next(
-            (one for one in directory.others() if one.id == message.sender), None
+            (entry for entry in directory.others() if entry.id == message.sender), None
         )
         if peer is None:
-            return  # its entry is not known here; the retries are lost
-        gift = RetryGiftDatagram(peer.token, directory.own.id, message.number, amount)
-        self._datagrams.send(peer, gift)
-
-    def _take_gift(self, message: RetryGiftDatagram) -> None:
-        """Take retries in, once from each who was asked."""
-        question = self._asked.get(message.number)
-        if question is None or message.sender not in question.peers:
-            return  # too late, or a datagram that came twice
-        question.peers.discard(message.sender)
-        self._account.take_retries(question.service, message.amount)
+            return  # unknown sender; the withdrawn retries are lost
+        grant = RetryGiftDatagram(peer.token, directory.own.id, message.number, amount)
+        self._datagrams.send(peer, grant)
+
+    def _handle_grant(self, message: RetryGiftDatagram) -> None:
+        """Add granted retries, once per queried peer."""
+        pending = self._pending.get(message.number)
+        if pending is None or message.sender not in pending.peers:
+            return  # expired request or duplicate datagram
+        pending.peers.discard(message.sender)
+        self._account.take_retries(pending.service, message.amount)
         events.log(
             events.RETRIES_GIVEN,
-            service=question.service,
+            service=pending.service,
             giver=message.sender,
             amount=round(message.amount, 2),
         )
-        if not question.peers:
-            self._close(question)
-        for waiting in question.waiting:
-            if not waiting.done():
-                waiting.set_result(None)
-        question.waiting.clear()
+        if not pending.peers:
+            self._stop_sharing(pending)
+        for waiter in pending.waiters:
+            if not waiter.done():
+                waiter.set_result(None)
+        pending.waiters.clear()
--- a/src/violethatch/retries.py
+++ b/src/violethatch/retries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Retry budgets and learnt stall limits.
+"""Retry budgets and adaptive stall limits.
 
 .. versionadded:: 26.1.0
 """
@@ -8,14 +8,14 @@
 
 
 class RetryBudget:
-    """Lets retries through only in proportion to the work that succeeds.
+    """Limits retries to a fraction of the successful requests.
 
-    A dying availability zone then can't turn into a storm of retries: once
-    the reserve is spent, retries are limited to *ratio* of the successes.
+    This prevents a retry storm when an availability zone fails: once the
+    reserve is used up, retries are limited to *ratio* of the successes.
 
     Args:
-        ratio: Retries earned by each success.
-        reserve: The most retries that may be saved up; also the start value.
+        ratio: Retries added per success.
+        reserve: Max balance; also the initial one.
 
     .. versionadded:: 26.1.0
     """
@@ -31,41 +31,41 @@
         self.balance = reserve
 
     def deposit(self) -> None:
-        """Note a success."""
+        """Add to the balance for a success."""
         self.balance = min(self.reserve, self.balance + self.ratio)
 
     def resize(self, reserve: float) -> None:
-        """Change the most that may be saved up; what is gained is there at once.
+        """Set the max balance; an increase is added to the balance.
 
         Args:
-            reserve: The most retries that may be saved up from now on.
+            reserve: The new max balance.
         """
         self.balance = min(reserve, self.balance + max(0.0, reserve - self.reserve))
         self.reserve = reserve
 
     def withdraw(self) -> bool:
-        """Take one retry; tell whether there was one."""
+        """Withdraw one retry; return whether the balance allowed it."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
         return True
 
     def give_back(self) -> None:
-        """Take one retry back that was not used."""
+        """Return one unused retry to the balance."""
         self.balance = min(self.reserve, self.balance + 1.0)
 
 
 class StallLimit:
-    """Learns how long a runner's step may take before it counts as hung.
+    """Estimates the time after which a runner's step is considered stalled.
 
-    The limit is the mean plus some deviations of the step times seen, as TCP
-    does for its retransmission timer (RFC 6298), never below a floor, and
-    grows with the number of positions of a step.
+    The limit is the mean of the observed step times plus a multiple of their
+    mean deviation, as for TCP's retransmission timer (RFC 6298), with a lower
+    bound.  It grows with the number of positions of a step.
 
     Args:
-        initial_s: The limit before anything was seen, in seconds.
-        floor_s: The least limit, in seconds.
-        deviations: How many mean deviations to allow.
+        initial_s: Limit before the first observation, in seconds.
+        floor_s: Min limit, in seconds.
+        deviations: Multiple of the mean deviation that is added to the mean.
 
     .. versionadded:: 26.1.0
     """
@@ -86,7 +86,7 @@
         self.deviation_s = 0.0
 
     def observe(self, elapsed_s: float) -> None:
-        """Learn from a single-position step that took *elapsed_s*."""
+        """Update the estimate with a single-position step that took *elapsed_s*."""
         if self.mean_s == 0.0:
             self.mean_s = elapsed_s
             self.deviation_s = elapsed_s / 2
@@ -95,11 +95,11 @@
         self.mean_s += (elapsed_s - self.mean_s) / 8
 
     def limit_s(self, *, positions: int = 1) -> float:
-        """Return the limit for a step of so many positions, in seconds."""
+        """Return the limit for a step of *positions* positions, in seconds."""
         if self.mean_s == 0.0 or positions > 1:
-            return max(self.initial_s, self._learnt_s() * positions / 8)
-        return max(self.floor_s, self._learnt_s())
+            return max(self.initial_s, self._estimate_s() * positions / 8)
+        return max(self.floor_s, self._estimate_s())
 
-    def _learnt_s(self) -> float:
-        """Return the learnt limit of a single-position step, in seconds."""
+    def _estimate_s(self) -> float:
+        """Return the estimated limit of a single-position step, in seconds."""
         return self.mean_s + self.deviations * self.deviation_s
--- a/src/violethatch/retry_shares.py
+++ b/src/violethatch/retry_shares.py
@@ -1,20 +1,20 @@
 # SPDX-License-Identifier: MIT
-"""Retries that instances give each other, so that all share one budget.
+"""Retries granted between instances, so that they share one retry budget.
 
-Load pattern: what fails, fails at few instances at once.  Many instances have a small
-part each of the retries that are allowed; the few that meet a dead group or failing
-runners spend theirs in a moment, and cut streams that another run would have saved,
-while the others' parts lie unused.
+Load pattern: failures affect few instances at once.  Each of many instances has a
+small share of the allowed retries.  The few that encounter a failed group or failing
+runners exhaust theirs immediately and abort streams that a retry would have saved,
+while the other shares remain unused.
 
-An instance without retries asks some others, and each gives away a part of what it
-has.  What is given is taken off first and added only once, and only for a short time:
-whatever is lost, delayed or doubled on the way, all together never have more than
-their parts and what their requests have earned.  Nothing has to be agreed, and who is
-cut off has its own part.
+An instance without retries requests some from others, and each grants a fraction of
+its balance.  A grant is withdrawn before it is sent, added only once, and expires soon.
+With lost, delayed or duplicated datagrams, the total thus never exceeds the shares
+and the retries earned by requests.  No consensus is required, and a partitioned
+instance keeps its own share.
 
-Ways weighed: sums of what all have spent, told along a tree (a second old, so that
-either each may spend little within that second, or all together too much); a larger
-part each (nothing keeps all within the rule's limit).
+Rejected alternatives: totals of spent retries, aggregated along a tree (one second old,
+so that either each instance may spend little within that second, or the total exceeds
+the limit); larger shares (nothing enforces the limit of the total).
 
 .. versionadded:: 26.3.0
 """
@@ -26,66 +26,65 @@
 from .retries import RetryBudget
 
 
-#: The part of what it has that an instance gives away when it is asked: the one who
-#: asks has trouble now, but so may the one who gives in a moment.
-GIVEN_PART = 0.5
-#: How long retries that were given count, in seconds: some more requests that wait for
-#: a path.  Kept for longer they would add up with what the giver has earned anew.
-GIFT_LIFE_S = 2.0
-#: Less than this is not given, as it would not pay its datagram.
-_LEAST_GIVEN = 0.05
+#: Fraction of its balance that an instance grants per request: the requesting instance
+#: needs retries now, but the granting one may need some soon.
+GRANT_FRACTION = 0.5
+#: Lifetime of granted retries, in seconds: enough for a few more requests that wait for
+#: a path.  Longer ones would add up with what the granting instance earns meanwhile.
+GRANT_TTL_S = 2.0
+#: Min grant; less is not worth a datagram.
+_MIN_GRANT = 0.05
 
 
 class RetryShare:
-    """One instance's part of a service's retries.
+    """One instance's share of a service's retries.
 
     Args:
-        budget: Its own part.
+        budget: The instance's own budget.
 
     .. versionadded:: 26.3.0
     """
 
     def __init__(self, budget: RetryBudget) -> None:
         self.own = budget
-        #: What others have given: until when it counts, and how much is left.
-        self._given: collections.deque[tuple[float, float]] = collections.deque()
+        #: Received grants: expiry time and remaining amount.
+        self._grants: collections.deque[tuple[float, float]] = collections.deque()
 
     def left(self, *, now_s: float) -> float:
-        """Return how many retries there are, gifts included."""
+        """Return the available retries, including grants."""
         self._expire(now_s)
-        return self.own.balance + sum(amount for _, amount in self._given)
+        return self.own.balance + sum(amount for _, amount in self._grants)
 
     def withdraw(self, *, now_s: float) -> bool:
-        """Take one retry, gifts first; tell whether there was one."""
+        """Withdraw one retry, first from grants; return whether one was available."""
         if self.left(now_s=now_s) < 1.0:
             return False
-        wanted = 1.0
-        while self._given and wanted > 0.0:
-            until_s, amount = self._given.popleft()
-            taken = min(amount, wanted)
-            wanted -= taken
-            if amount > taken:
-                self._given.appendleft((until_s, amount - taken))
-        self.own.balance -= wanted
+        remaining = 1.0
+        while self._grants and remaining > 0.0:
+            expiry_s, amount = self._grants.popleft()
+            used = min(amount, remaining)
+            remaining -= used
+            if amount > used:
+                self._grants.appendleft((expiry_s, amount - used))
+        self.own.balance -= remaining
         return True
 
-    def give(self, wanted: float) -> float:
-        """Take off and return what another instance gets; 0 if it is too little.
+    def give(self, requested: float) -> float:
+        """Withdraw and return the amount granted to another instance; 0 if too small.
 
-        Only of the own part: what was given is not passed on, so that it can't go
-        round.
+        Received grants are excluded, so that they can't circulate.
         """
-        given = min(wanted, GIVEN_PART * self.own.balance)
-        if given < _LEAST_GIVEN:
+        granted = min(requested, GRANT_FRACTION * self.own.balance)
+        if granted < _MIN_GRANT:
             return 0.0
-        self.own.balance -= given
-        return given
+        self.own.balance -= granted
+        return granted
 
     def take(self, amount: float, *, now_s: float) -> None:
-        """Take in what another instance has taken off its part."""
-        self._given.append((now_s + GIFT_LIFE_S, amount))
+        """Add an amount that another instance has granted."""
+        self._grants.append((now_s + GRANT_TTL_S, amount))
 
     def _expire(self, now_s: float) -> None:
-        """Let go of what was given too long ago."""
-        while self._given and self._given[0][0] <= now_s:
-            self._given.popleft()
+        """Discard expired grants."""
+        while self._grants and self._grants[0][0] <= now_s:
+            self._grants.popleft()
--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -20,7 +20,7 @@
 from violethatch.event_loop import EventLoop
 from violethatch.instances import InstanceDirectory
 from violethatch.retries import RetryBudget
-from violethatch.retry_shares import GIFT_LIFE_S, RetryShare
+from violethatch.retry_shares import GRANT_TTL_S, RetryShare
 from violethatch.router_settings import RouterPolicySection
 
 
@@ -63,7 +63,7 @@
         one = share(64)
         one.own.balance = 0.0
         one.take(5.0, now_s=0.0)
-        assert not one.withdraw(now_s=GIFT_LIFE_S)
+        assert not one.withdraw(now_s=GRANT_TTL_S)
 
     def test_given_is_taken_off(self):
         """Giving moves retries, and makes none."""
