--- a/src/violethatch/_engine_link.py
+++ b/src/violethatch/_engine_link.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""One instance's connection to one model engine.
+"""An instance's connection to a model engine.
 
-Steps that are submitted while a frame is being written share the next frame.
-Results are matched to their steps by label; those that nobody waits for any
-more are counted and dropped.
+Steps submitted while a frame is being written are batched in the next frame.
+Results are matched to their steps by request, epoch and position; late results
+are counted and dropped.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from .retries import StallLimit
 
 
-_RECONNECT_FIRST_S = 0.05
-_RECONNECT_MOST_S = 1.0
-#: A step may outlast the limit this often while others get results.
-_BUSY_FACTOR = 8.0
-#: Labels of given-up steps to remember, so that late results still teach.
-_GIVEN_UP_MOST = 1024
+_RECONNECT_MIN_S = 0.05
+_RECONNECT_MAX_S = 1.0
+#: Multiple of the stall limit that a step may take while other steps get results.
+_BUSY_LIMIT_FACTOR = 8.0
+#: Max number of timed-out steps whose late results still update the stall limit.
+_MAX_TIMED_OUT_STEPS = 1024
 
-_Label = tuple[str, int, int]
+_StepKey = tuple[str, int, int]
 
 
 class StageFailedError(Exception):
-    """A step got no usable result; the request may go on elsewhere."""
+    """A step got no usable result; the request may continue on another runner."""
 
     def __init__(self, runner_id: str, reason: str, *, refusal: int = 0) -> None:
         super().__init__(f"{runner_id}: {reason}")
@@ -43,28 +43,28 @@
 
 
 class _Pending(NamedTuple):
-    """A step that waits for its result."""
+    """A step without a result yet."""
 
     future: asyncio.Future[wire.Result]
     submitted_s: float
     positions: int
 
 
-def _label(message: wire.Step | wire.Result) -> _Label:
-    """Return what a step and its result have in common, and no other step."""
+def _step_key(message: wire.Step | wire.Result) -> _StepKey:
+    """Return the key that only a step and its result have in common."""
     return message.request, message.epoch, message.position
 
 
 class EngineLink:
-    """A connection that is kept up, and what is learnt over it.
+    """A reconnecting connection, with the state received over it.
 
     Args:
         runner_id: The runner's id in the platform's list.
-        availability_zone: Where the runner is.
-        url: Its WebSocket's address.
-        stall_initial_s: The stall limit before anything is learnt, in seconds.
-        stall_floor_s: The least stall limit, in seconds.
-        silence_limit_s: How long a runner may send nothing at all, in seconds.
+        availability_zone: The runner's availability zone.
+        url: The URL of its WebSocket.
+        stall_initial_s: Stall limit before the first result, in seconds.
+        stall_floor_s: Min stall limit, in seconds.
+        silence_limit_s: Max time without any frame from the runner, in seconds.
         on_change: Called when the runner becomes usable or unusable.
     """
 
@@ -90,23 +90,23 @@
         self.late_results = 0
         self._silence_limit_s = silence_limit_s
         self._on_change = on_change
-        self._pending: dict[_Label, _Pending] = {}
-        self._given_up: dict[_Label, float] = {}
+        self._pending: dict[_StepKey, _Pending] = {}
+        self._timed_out: dict[_StepKey, float] = {}
         self._steps: list[wire.Step] = []
         self._cancels: list[wire.Cancel] = []
         self._orders: list[wire.Order] = []
-        self._order_answers: dict[int, asyncio.Future[wire.Ordered]] = {}
-        self._moves: list[bytes] = []
-        self._move_answers: dict[
+        self._pending_orders: dict[int, asyncio.Future[wire.Ordered]] = {}
+        self._transfers: list[bytes] = []
+        self._pending_transfers: dict[
             tuple[int, str, int], asyncio.Future[wire.Cache | wire.Imported]
         ] = {}
         self._wake = asyncio.Event()
-        self._heard_s = 0.0
-        self._result_s = 0.0
+        self._last_frame_s = 0.0
+        self._last_result_s = 0.0
 
     @property
     def is_usable(self) -> bool:
-        """Whether the connection is up and the runner makes progress."""
+        """Whether the connection is established and the runner makes progress."""
         return self.hello is not None and not self.is_stalled
 
     def submit(self, step: wire.Step) -> asyncio.Future[wire.Result]:
@@ -119,33 +119,33 @@
         if self.hello is None:
             future.set_exception(StageFailedError(self.runner_id, "not connected"))
             return future
-        label = _label(step)
-        self._pending[label] = _Pending(future, clocks.now_s(), max(1, step.positions))
+        key = _step_key(step)
+        self._pending[key] = _Pending(future, clocks.now_s(), max(1, step.positions))
         self._steps.append(step)
         self._wake.set()
         return future
 
     def cancel(self, request: str, epoch: int) -> None:
-        """Tell the engine to forget a request, up to *epoch*."""
+        """Cancel a request on the engine, for epochs up to *epoch*."""
         if self.hello is None:
             return
         self._cancels.append(wire.Cancel(request, epoch))
         self._wake.set()
 
     async def order(self, order: wire.Order, *, timeout_s: float) -> wire.Ordered:
-        """Give a fenced order; return the engine's answer.
+        """Send a fenced order; return the engine's response.
 
         Raises:
-            TimeoutError: No answer came; the order may have been carried out.
+            TimeoutError: No response was received; the order may have been executed.
         """
         future = asyncio.get_running_loop().create_future()
-        self._order_answers[order.order_id] = future
+        self._pending_orders[order.order_id] = future
         self._orders.append(order)
         self._wake.set()
         try:
             return await asyncio.wait_for(future, timeout_s)
         finally:
-            self._order_answers.pop(order.order_id, None)
+            self._pending_orders.pop(order.order_id, None)
 
     async def export_cache(
         self, request: str, epoch: int, *, timeout_s: float
@@ -153,56 +153,56 @@
         """Return a request's KV cache.
 
         Raises:
-            StageFailedError: The engine has none, or does not answer.
+            StageFailedError: The engine has none or does not respond.
         """
         frame = wire.encode_frame(wire.FrameKind.EXPORT, wire.Export(request, epoch))
         key = (int(wire.FrameKind.EXPORTED), request, epoch)
-        answer = await self._move(frame, key, timeout_s)
-        assert isinstance(answer, wire.Cache)
-        return answer
+        response = await self._transfer_cache(frame, key, timeout_s)
+        assert isinstance(response, wire.Cache)
+        return response
 
     async def import_cache(self, cache: wire.Cache, *, timeout_s: float) -> None:
-        """Have the engine go on with a request from its KV cache.
+        """Import a request's KV cache into the engine, to continue the request there.
 
         Raises:
-            StageFailedError: The engine refuses, or does not answer.
+            StageFailedError: The engine refuses or does not respond.
         """
         frame = wire.encode_frame(wire.FrameKind.IMPORT, cache)
         key = (int(wire.FrameKind.IMPORTED), cache.request, cache.epoch)
-        await self._move(frame, key, timeout_s)
+        await self._transfer_cache(frame, key, timeout_s)
 
-    async def _move(
+    async def _transfer_cache(
         self, frame: bytes, key: tuple[int, str, int], timeout_s: float
     ) -> wire.Cache | wire.Imported:
-        """Send a frame of a cache's move and return its answer."""
+        """Send a frame of a cache transfer; return the response."""
         if self.hello is None:
             raise StageFailedError(self.runner_id, "not connected")
         future = asyncio.get_running_loop().create_future()
-        self._move_answers[key] = future
-        self._moves.append(frame)
+        self._pending_transfers[key] = future
+        self._transfers.append(frame)
         self._wake.set()
         try:
-            answer: wire.Cache | wire.Imported
-            answer = await asyncio.wait_for(future, timeout_s)
+            response: wire.Cache | wire.Imported
+            response = await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
-            raise StageFailedError(self.runner_id, "cache not moved in time") from None
+            raise StageFailedError(self.runner_id, "cache transfer timed out") from None
         finally:
-            self._move_answers.pop(key, None)
-        if answer.refusal:
-            reason = wire.Refusal(answer.refusal).name.lower()
-            raise StageFailedError(self.runner_id, reason, refusal=answer.refusal)
-        return answer
+            self._pending_transfers.pop(key, None)
+        if response.refusal:
+            reason = wire.Refusal(response.refusal).name.lower()
+            raise StageFailedError(self.runner_id, reason, refusal=response.refusal)
+        return response
 
     async def run(self, session: aiohttp.ClientSession) -> None:
-        """Keep the connection up until cancelled; then fail what waits."""
+        """Maintain the connection until cancelled; then fail pending steps."""
         try:
-            await self._keep_up(session)
+            await self._reconnect_loop(session)
         finally:
-            self._lost()
+            self._handle_disconnect()
 
-    async def _keep_up(self, session: aiohttp.ClientSession) -> None:
-        """Connect again and again."""
-        pause_s = _RECONNECT_FIRST_S
+    async def _reconnect_loop(self, session: aiohttp.ClientSession) -> None:
+        """Connect, and reconnect with exponential back-off."""
+        backoff_s = _RECONNECT_MIN_S
         while True:
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                 async with session.ws_connect(
@@ -210,20 +210,20 @@
                 ) as socket:
                     await self._serve(socket)
             if self.hello is not None:
-                pause_s = _RECONNECT_FIRST_S
-            self._lost()
-            await asyncio.sleep(pause_s)
-            pause_s = min(_RECONNECT_MOST_S, pause_s * 2)
+                backoff_s = _RECONNECT_MIN_S
+            self._handle_disconnect()
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(_RECONNECT_MAX_S, backoff_s * 2)
 
     async def _serve(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         """Read and write frames until the connection breaks."""
         writer = asyncio.create_task(self._write_loop(socket))
-        self._heard_s = clocks.now_s()
+        self._last_frame_s = clocks.now_s()
         try:
             async for message in socket:
                 if message.type is not aiohttp.WSMsgType.BINARY:
                     continue
-                self._take_frame(message.data)
+                self._handle_frame(message.data)
         except msgspec.DecodeError as error:
             events.log(
                 events.TASK_FAILED,
@@ -235,7 +235,7 @@
             writer.cancel()
 
     async def _write_loop(self, socket: aiohttp.ClientWebSocketResponse) -> None:
-        """Write what has gathered, one frame of a kind at a time."""
+        """Write queued messages, batching steps and cancellations."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -246,25 +246,25 @@
                 cancels, self._cancels = self._cancels, []
                 frame = wire.encode_frame(wire.FrameKind.CANCEL, cancels)
                 await socket.send_bytes(frame)
-            moves, self._moves = self._moves, []
-            for frame in moves:
+            transfers, self._transfers = self._transfers, []
+            for frame in transfers:
                 await socket.send_bytes(frame)
             orders, self._orders = self._orders, []
             for order in orders:
                 await socket.send_bytes(wire.encode_frame(wire.FrameKind.ORDER, order))
 
-    def _take_frame(self, data: bytes) -> None:
-        """Act on one frame of the engine."""
+    def _handle_frame(self, data: bytes) -> None:
+        """Process a frame from the engine."""
         now_s = clocks.now_s()
-        self._heard_s = now_s
+        self._last_frame_s = now_s
         if self.is_stalled:
             self.is_stalled = False
             self._on_change()
         kind, body = wire.decode_frame(data)
         if kind == wire.FrameKind.RESULTS:
-            self._result_s = now_s
+            self._last_result_s = now_s
             for result in wire.decode_results(body):
-                self._take_result(result, now_s)
+                self._handle_result(result, now_s)
         elif kind == wire.FrameKind.LOAD:
             self.load = wire.decode_load(body)
             self.view.reported(self.load.active, now_s=now_s)
@@ -274,30 +274,30 @@
             events.log(events.RUNNER_FOUND, runner=self.runner_id)
             self._on_change()
         elif kind == wire.FrameKind.EXPORTED:
-            self._take_move(kind, wire.decode_cache(body))
+            self._handle_transfer(kind, wire.decode_cache(body))
         elif kind == wire.FrameKind.IMPORTED:
-            self._take_move(kind, wire.decode_imported(body))
+            self._handle_transfer(kind, wire.decode_imported(body))
         elif kind == wire.FrameKind.ORDERED:
-            answer = wire.decode_ordered(body)
-            waiting = self._order_answers.get(answer.order_id)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(answer)
-
-    def _take_move(self, kind: int, answer: wire.Cache | wire.Imported) -> None:
-        """Give the answer about a cache to whoever waits for it."""
-        waiting = self._move_answers.get((kind, answer.request, answer.epoch))
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
-
-    def _take_result(self, result: wire.Result, now_s: float) -> None:
-        """Give a result to whoever waits for exactly that step."""
-        label = _label(result)
-        pending = self._pending.pop(label, None)
+            response = wire.decode_ordered(body)
+            future = self._pending_orders.get(response.order_id)
+            if future is not None and not future.done():
+                future.set_result(response)
+
+    def _handle_transfer(self, kind: int, response: wire.Cache | wire.Imported) -> None:
+        """Resolve the pending cache transfer of a response."""
+        future = self._pending_transfers.get((kind, response.request, response.epoch))
+        if future is not None and not future.done():
+            future.set_result(response)
+
+    def _handle_result(self, result: wire.Result, now_s: float) -> None:
+        """Resolve the pending step of a result."""
+        key = _step_key(result)
+        pending = self._pending.pop(key, None)
         if pending is None:
             self.late_results += 1
-            submitted_s = self._given_up.pop(label, None)
+            submitted_s = self._timed_out.pop(key, None)
             if submitted_s is not None and result.positions == 1:
-                self._learn(now_s - submitted_s)
+                self._record_step_time(now_s - submitted_s)
             return
         if pending.future.done():
             return
@@ -307,66 +307,69 @@
             pending.future.set_exception(error)
             return
         if result.positions == 1:
-            self._learn(now_s - pending.submitted_s)
+            self._record_step_time(now_s - pending.submitted_s)
         pending.future.set_result(result)
 
-    def _learn(self, elapsed_s: float) -> None:
-        """Learn from the time of a single-position step."""
+    def _record_step_time(self, elapsed_s: float) -> None:
+        """Update the estimates with the time of a single-position step."""
         self.stall.observe(elapsed_s)
         self.view.observed(elapsed_s)
 
     def sweep(self, now_s: float) -> None:
-        """Fail overdue steps; judge the runner by whether it makes progress."""
+        """Fail overdue steps, and mark the runner stalled if it makes no progress."""
         if self.hello is None:
             return
-        if now_s - self._heard_s > self._silence_limit_s:
-            self._stalled("silent")
+        if now_s - self._last_frame_s > self._silence_limit_s:
+            self._mark_stalled("silent")
         if self._pending:
             self._fail_overdue(now_s)
 
     def _fail_overdue(self, now_s: float) -> None:
-        """Fail the steps that have waited too long."""
+        """Fail the steps without a result within their limit."""
         overdue = [
-            label
-            for label, pending in self._pending.items()
+            key
+            for key, pending in self._pending.items()
             if self._is_overdue(pending, now_s)
         ]
-        for label in overdue:
-            pending = self._pending.pop(label)
-            self._remember(label, pending.submitted_s)
+        for key in overdue:
+            pending = self._pending.pop(key)
+            self._record_timeout(key, pending.submitted_s)
             if not pending.future.done():
                 error = StageFailedError(self.runner_id, "stalled")
                 pending.future.set_exception(error)
         if overdue:
-            self._stalled("step overdue")
+            self._mark_stalled("step overdue")
 
     def _is_overdue(self, pending: _Pending, now_s: float) -> bool:
-        """Tell whether a step has waited too long.
+        """Return whether a step has exceeded its limit.
 
-        A runner that answers other steps meanwhile is busy, not hung.
+        A runner that returns results of other steps meanwhile is busy, not stalled.
         """
         limit_s = self.stall.limit_s(positions=pending.positions)
-        waited_s = now_s - pending.submitted_s
-        if self._result_s > pending.submitted_s:
-            return now_s - self._result_s > limit_s or waited_s > limit_s * _BUSY_FACTOR
-        return waited_s > limit_s
-
-    def _remember(self, label: _Label, submitted_s: float) -> None:
-        """Remember a given-up step, within bounds."""
-        self._given_up[label] = submitted_s
-        while len(self._given_up) > _GIVEN_UP_MOST:
-            del self._given_up[next(iter(self._given_up))]
-
-    def _stalled(self, reason: str) -> None:
-        """Note that the runner makes no progress."""
+        elapsed_s = now_s - pending.submitted_s
+        if self._last_result_s > pending.submitted_s:
+            return (
+                now_s - self._last_result_s > limit_s
+                or elapsed_s > limit_s * _BUSY_LIMIT_FACTOR
+            )
+        return elapsed_s > limit_s
+
+    def _record_timeout(self, key: _StepKey, submitted_s: float) -> None:
+        """Record a timed-out step; evict the oldest one above the max number."""
+        self._timed_out[key] = submitted_s
+        while len(self._timed_out) > _MAX_TIMED_OUT_STEPS:
+            del self._timed_out[next(iter(self._timed_out))]
+
+    def _mark_stalled(self, reason: str) -> None:
+        """Mark the runner as stalled."""
         if self.is_stalled:
             return
         self.is_stalled = True
         events.log(events.RUNNER_STALLED, runner=self.runner_id, reason=reason)
         self._on_change()
 
-    def _lost(self) -> None:
-        """Fail all that waits: the connection is gone."""
+    def _handle_disconnect(self) -> None:
+        """Reset the state after a lost connection and fail pending steps."""
         if self.hello is not None:
             events.log(events.RUNNER_LOST, runner=self.runner_id)
         self.hello = None
@@ -374,9 +377,9 @@
         pending, self._pending = self._pending, {}
         self._steps.clear()
         self._cancels.clear()
-        self._moves.clear()
-        for waiting in pending.values():
-            if not waiting.future.done():
+        self._transfers.clear()
+        for step in pending.values():
+            if not step.future.done():
                 error = StageFailedError(self.runner_id, "connection lost")
-                waiting.future.set_exception(error)
+                step.future.set_exception(error)
         self._on_change()
--- a/src/violethatch/_repeated_reads.py
+++ b/src/violethatch/_repeated_reads.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: MIT
-"""Reads of the store that are sent once more if their answer is lost.
+"""Store reads that are retried once if their response is lost.
 
-Connections fall silent, or break, while the store is well.  A lost read is repeated
-without a wait.  A read that waits for long is given up when a shorter one is lost, as
-its connection may have fallen silent at the same moment.
+Connections stall or break while the store is available.  A lost read is retried without
+delay.  A long poll is cancelled when a shorter read is lost, as its connection may have
+stalled at the same time.
 
-Load pattern: all open connections of all instances are lost at one moment.  Each read
-under way is repeated once.
+Load pattern: every open connection of every instance is lost at once.  Each read in
+flight is retried once.
 """
 
 from __future__ import annotations
@@ -22,33 +22,33 @@
 from .upstream import TableStore, TableView
 
 
-#: From which wait on a read is given up when another one is lost, in seconds.
-_LONG_WAIT_S = 5.0
+#: Reads with at least this wait are cancelled when another one is lost, in seconds.
+_MIN_LONG_POLL_S = 5.0
 
 
 class RepeatedReads:
-    """Reads a store's tables; repeats reads that are lost.
+    """Reads tables of a store and retries lost reads.
 
     Args:
-        store: Reads the store.
-        on_lost: Called with the table of each read that is lost.
+        store: The store.
+        on_lost: Called with the table of each lost read.
     """
 
     def __init__(self, store: TableStore, *, on_lost: Callable[[str], None]) -> None:
         self._store = store
-        self._on_lost = on_lost
-        self._lost = asyncio.Event()
+        self._notify_lost = on_lost
+        self._read_lost = asyncio.Event()
 
     async def read_table(self, table: str) -> TableView:
-        """Return a whole table; see `TableSource.read_table`.
+        """Return a complete table; see `TableSource.read_table`.
 
         Raises:
-            TableUnavailableError: The store refuses or is silent.
+            TableUnavailableError: The store refuses the read or does not respond.
         """
         try:
             return await self._store.read_table(table)
         except ReadLostError as error:
-            self._note_lost(table, error)
+            self._handle_lost(table, error)
             return await self._store.read_table(table)
 
     async def read_changes(
@@ -63,47 +63,49 @@
         """Return changes; see `TableStore.read_changes`.
 
         Raises:
-            HistoryGoneError: Changes since *after* can't be had any more.
-            TableUnavailableError: The store refuses or is silent.
+            HistoryGoneError: Changes since *after* are no longer available.
+            TableUnavailableError: The store refuses the read or does not respond.
         """
         read = self._store.read_changes(
             table, after=after, wait_s=wait_s, answer_s=answer_s, era=era
         )
         try:
-            if wait_s >= _LONG_WAIT_S:
-                return await self._unless_another_is_lost(read)
+            if wait_s >= _MIN_LONG_POLL_S:
+                return await self._cancel_if_other_lost(read)
             return await read
         except ReadLostError as error:
-            self._note_lost(table, error)
+            self._handle_lost(table, error)
             return await self._store.read_changes(
                 table, after=after, wait_s=0.0, era=era
             )
 
-    async def _unless_another_is_lost(
+    async def _cancel_if_other_lost(
         self, read: Coroutine[Any, Any, TableView]
     ) -> TableView:
-        """Return what a read answers.
+        """Return the result of a read.
 
         Raises:
             ReadLostError: Another read was lost meanwhile.
         """
         reading = asyncio.ensure_future(read)
-        losing = asyncio.ensure_future(self._lost.wait())
+        other_lost = asyncio.ensure_future(self._read_lost.wait())
         try:
-            await asyncio.wait((reading, losing), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (reading, other_lost), return_when=asyncio.FIRST_COMPLETED
+            )
             if reading.done():
                 return reading.result()
         finally:
-            losing.cancel()
+            other_lost.cancel()
             reading.cancel()
         msg = "another read was lost"
         raise ReadLostError(msg)
 
-    def _note_lost(self, table: str, error: ReadLostError) -> None:
-        """Log that a read is sent once more; end those that wait for long."""
+    def _handle_lost(self, table: str, error: ReadLostError) -> None:
+        """Log the retry of a lost read and cancel the long polls."""
         events.log(
             events.READ_REPEATED, table=table, source="store", reason=error.detail
         )
-        self._on_lost(table)
-        self._lost.set()
-        self._lost = asyncio.Event()
+        self._notify_lost(table)
+        self._read_lost.set()
+        self._read_lost = asyncio.Event()
--- a/src/violethatch/wire.py
+++ b/src/violethatch/wire.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 """Messages between an entry instance and a model engine.
 
-They travel as binary WebSocket frames.  A frame is a MessagePack array of a
-kind and a body; the tuples below are encoded as arrays, so that a step costs
-no field names on the wire.  Steps to one engine share a frame.
+They are sent as binary WebSocket frames.  A frame is a MessagePack array of a
+kind and a body.  The tuples below are encoded as arrays, without field names.
+Steps to an engine are batched in a frame.
 
 .. versionadded:: 26.1.0
 """
@@ -20,7 +20,7 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame's body is."""
+    """The type of a frame's body."""
 
     STEPS = 1  # list[Step]
     CANCEL = 2  # list[Cancel]
@@ -37,10 +37,10 @@
 
 
 class PayloadKind(enum.IntEnum):
-    """What a step's payload is."""
+    """The type of a step's payload."""
 
     TOKENS = 1  # MessagePack array: prompt text, tokens generated so far
-    HIDDEN = 2  # hidden states, one after the other, of every position
+    HIDDEN = 2  # concatenated hidden states of the positions
 
 
 class Refusal(enum.IntEnum):
@@ -59,11 +59,11 @@
 
     Attributes:
         request: Identifies the request.
-        epoch: The attempt's epoch; engines refuse lower ones than they know.
-        position: The first position to run.  Zero starts anew.
-        positions: How many of them; zero if the engine has to count tokens.
-        priority: Higher runs first.
-        kind: What the payload is (a `PayloadKind`).
+        epoch: The attempt's epoch; engines refuse epochs below the latest one.
+        position: The first position to run.  Zero restarts the request.
+        positions: Number of positions; zero if the engine has to count the tokens.
+        priority: Steps with higher values are run first.
+        kind: The type of the payload (a `PayloadKind`).
         payload: The input.
     """
 
@@ -77,17 +77,17 @@
 
 
 class Result(NamedTuple):
-    """What became of a step.
+    """The result of a step.
 
     Attributes:
         request: The step's request.
         epoch: The step's epoch.
         position: The step's first position.
-        positions: How many of them were run.
-        refusal: Why nothing was run (a `Refusal`), zero if it was.
+        positions: Number of positions that were run.
+        refusal: Why the step was not run (a `Refusal`), zero if it was.
         payload: Hidden states, or the UTF-8 text of the last stage's token.
         token: The last stage's token, -1 from other stages.
-        end: Whether the token ends the answer.
+        end: Whether the token terminates the response.
     """
 
     request: str
@@ -101,14 +101,14 @@
 
 
 class Cancel(NamedTuple):
-    """Forget a request, up to an epoch."""
+    """Cancel a request, for epochs up to the given one."""
 
     request: str
     epoch: int
 
 
 class Hello(NamedTuple):
-    """What an engine says of itself when a connection opens."""
+    """An engine's properties, sent when a connection is established."""
 
     runner_id: str
     model: str
@@ -122,7 +122,7 @@
 
 
 class Load(NamedTuple):
-    """An engine's load, as of some time ago."""
+    """An engine's load at the time of the report."""
 
     active: int
     waiting: int
@@ -131,7 +131,7 @@
 
 
 class Order(NamedTuple):
-    """A fenced order: load an adapter, or leave."""
+    """A fenced order: load an adapter or shut down."""
 
     order_id: int
     fence: int
@@ -140,7 +140,7 @@
 
 
 class Ordered(NamedTuple):
-    """What became of an order."""
+    """The result of an order."""
 
     order_id: int
     accepted: bool
@@ -148,9 +148,9 @@
 
 
 class CacheReport(NamedTuple):
-    """Blocks of prompt prefixes that an engine gained or lost.
+    """Blocks of prompt prefixes that an engine has cached or evicted.
 
-    Reports come late and some never; the sequence shows the gaps.
+    Reports may be delayed or lost; the sequence number reveals gaps.
     """
 
     sequence: int
@@ -159,7 +159,7 @@
 
 
 class Export(NamedTuple):
-    """Give out a request's KV cache; the engine keeps it until cancelled."""
+    """Export a request's KV cache; the engine retains it until cancelled."""
 
     request: str
     epoch: int
@@ -170,10 +170,10 @@
 
     Attributes:
         request: The request.
-        epoch: The epoch it was asked for, or is to go on under.
-        position: The first position that it does not hold.
-        refusal: Why there is none (a `Refusal`), zero if there is.
-        data: The cache, as engines with the same layers exchange it.
+        epoch: The epoch of the export request, or the one to continue under.
+        position: The first position that is not cached.
+        refusal: Why there is no cache (a `Refusal`), zero if there is one.
+        data: The cache, in the format that engines with the same layers exchange.
     """
 
     request: str
@@ -184,7 +184,7 @@
 
 
 class Imported(NamedTuple):
-    """What became of a cache that was given to an engine."""
+    """The result of importing a cache into an engine."""
 
     request: str
     epoch: int
--- a/src/violethatch/work_ids.py
+++ b/src/violethatch/work_ids.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""What requests may have in common: their work, and parts of their prompts.
+"""Digests that identify repeated requests (works) and common parts of their prompts.
 
-A caller who comes back sends a new request with an id of its own.  The work is the
-same where the caller, the method, the place and the body are.  Requests of different
-works may share parts of their prompts, within one caller or among all.  Ids of works
-and of parts have the same form, and tell nothing of what they stand for.
+A caller that retries sends a new request with another request id.  Requests are the
+same work if caller, method, host, target and body are equal.  Requests of different
+works may have prompt parts in common, within one caller or across callers.  Ids of
+works and of prompt parts have the same format and reveal nothing of their input.
 
 .. versionadded:: 26.4.0
 """
@@ -14,63 +14,65 @@
 import hashlib
 
 
-#: How many bytes of a digest name the caller; the first ones of a work's id, so that
-#: what is kept of works can be bounded for each caller.
+#: Digest size for the caller, in bytes: the prefix of a work id, so that state about
+#: works can be bounded per caller.
 CALLER_BYTES = 4
-#: How many bytes name the work itself: no two of them are ever alike.
+#: Digest size for the work itself, in bytes: makes collisions negligible.
 _WORK_BYTES = 12
-#: How many bytes name a prompt's part, and how many the caller who sent it.
+#: Digest size for a prompt part, and for the caller in its id, in bytes.
 _PART_BYTES = 6
 _HEX_DIGITS = frozenset("0123456789abcdef")
-#: What the ids of parts begin with, where works' ids name their caller.  No workspace's
-#: name has a zero byte.
+#: Prefix of prompt part ids, in place of a work id's caller.  The hashed text has a
+#: zero byte, which no workspace name has.
 _PART_PREFIX = hashlib.blake2b(b"\0part", digest_size=CALLER_BYTES).hexdigest()
-_ALL_CALLERS = "0" * (2 * _PART_BYTES)
+_ANY_CALLER = "0" * (2 * _PART_BYTES)
 
 
 def work_id(
     *, caller: str | None, method: str, host: str, target: str, body: bytes
 ) -> str:
-    """Return a work's id, which tells nothing of the body.
+    """Return the id of a request's work, which reveals nothing of the body.
 
     Args:
-        caller: The workspace, or None where callers are not told apart.
-        method: How it is asked for.
-        host: The host that the caller named.
-        target: Path and query as they were sent.
-        body: The whole body.
+        caller: The workspace, or None if callers are not distinguished.
+        method: The request method.
+        host: The requested host.
+        target: Path and query as received.
+        body: The complete body.
 
     .. versionadded:: 26.4.0
     """
-    caller_part = caller or ""
-    whose = hashlib.blake2b(caller_part.encode(), digest_size=CALLER_BYTES)
-    what = hashlib.blake2b(digest_size=_WORK_BYTES)
-    for part in (caller_part, method, host, target):
+    caller_name = caller or ""
+    caller_digest = hashlib.blake2b(caller_name.encode(), digest_size=CALLER_BYTES)
+    work_digest = hashlib.blake2b(digest_size=_WORK_BYTES)
+    for part in (caller_name, method, host, target):
         encoded = part.encode("utf-8", "surrogateescape")
-        what.update(len(encoded).to_bytes(4, "big") + encoded)
-    what.update(body)
-    return whose.hexdigest() + what.hexdigest()
+        work_digest.update(len(encoded).to_bytes(4, "big") + encoded)
+    work_digest.update(body)
+    return caller_digest.hexdigest() + work_digest.hexdigest()
 
 
 def part_id(part: str, *, caller: str | None = None) -> str:
-    """Return the id of a prompt's part.
+    """Return the id of a prompt part.
 
     Args:
-        part: What the caller names it.
-        caller: The workspace whose requests are meant, or None for all requests with
-            that part.
+        part: The caller's name of the part.
+        caller: The workspace that the id is limited to, or None for requests of any
+            caller with that part.
 
     .. versionadded:: 26.7.0
     """
-    named = hashlib.blake2b(part.encode(), digest_size=_PART_BYTES).hexdigest()
+    part_digest = hashlib.blake2b(part.encode(), digest_size=_PART_BYTES).hexdigest()
     if caller is None:
-        return _PART_PREFIX + named + _ALL_CALLERS
-    whose = hashlib.blake2b(caller.encode(), digest_size=_PART_BYTES).hexdigest()
-    return _PART_PREFIX + named + whose
+        return _PART_PREFIX + part_digest + _ANY_CALLER
+    caller_digest = hashlib.blake2b(
+        caller.encode(), digest_size=_PART_BYTES
+    ).hexdigest()
+    return _PART_PREFIX + part_digest + caller_digest
 
 
 def is_part(trait: str) -> bool:
-    """Tell whether an id is that of a prompt's part.
+    """Return whether an id identifies a prompt part.
 
     .. versionadded:: 26.7.0
     """
@@ -78,7 +80,7 @@
 
 
 def part_of(trait: str) -> str:
-    """Return what the ids of one part have in common for all callers.
+    """Return the prefix that the ids of a prompt part have for any caller.
 
     .. versionadded:: 26.7.0
     """
@@ -86,9 +88,9 @@
 
 
 def caller_of(work: str) -> str:
-    """Return the start of a work's id, which names its caller.
+    """Return the prefix of a work id that identifies the caller.
 
-    The ids of prompts' parts all begin alike.
+    Prompt part ids have a common prefix instead.
 
     .. versionadded:: 26.4.0
     """
@@ -96,13 +98,13 @@
 
 
 def check_work_id(text: str) -> None:
-    """Check that a text that came from elsewhere is the id of a work or a part.
+    """Validate an untrusted id of a work or a prompt part.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The id is malformed.
 
     .. versionadded:: 26.4.0
     """
     if len(text) != 2 * (CALLER_BYTES + _WORK_BYTES) or not set(text) <= _HEX_DIGITS:
-        msg = f"{text[:40]!r} is no work's id"
+        msg = f"malformed work id: {text[:40]!r}"
         raise ValueError(msg)
