--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One connection to an engine: late results, stalls, and its end."""
+"""Engine connections: late results, stalls, disconnects and cache transfers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(**options):
-    """Provide a link to an engine, and the task that keeps it up."""
+    """Provide a link to an engine, and the task that maintains it."""
     engine = Engine(
         EngineOptions("r", "menu", "v1", LayerRange(0, 2), 2, **options)
     ).application()
@@ -53,8 +53,8 @@
 
 
 class TestEngineLink:
-    async def test_result_of_a_given_up_step_is_dropped(self):
-        """It is counted, wakes the runner's state, and reaches nobody."""
+    async def test_late_result_is_dropped(self):
+        """It is counted and ends the runner's stalled state."""
         async with connected(base_s=0.3) as (link, _):
             future = link.submit(prompt_step("one"))
             await asyncio.sleep(0.05)
@@ -67,8 +67,8 @@
                     await asyncio.sleep(0.01)
             assert not link.is_stalled
 
-    async def test_end_of_the_connection_fails_what_waits(self):
-        """A link that is dropped leaves no step waiting for ever."""
+    async def test_disconnect_fails_pending_steps(self):
+        """Pending steps fail when the connection is closed."""
         async with connected(base_s=5.0) as (link, task):
             future = link.submit(prompt_step("one"))
             await asyncio.sleep(0.05)
@@ -77,8 +77,8 @@
                 async with asyncio.timeout(2):
                     await future
 
-    async def test_busy_is_not_hung(self):
-        """While other steps get results, a step is given longer."""
+    async def test_busy_runner_is_not_stalled(self):
+        """The limit of a step is extended while other steps get results."""
         async with connected(base_s=0.02, batch_limit=1) as (link, _):
             futures = [link.submit(prompt_step(f"q{n}")) for n in range(20)]
             await futures[0]
@@ -86,15 +86,15 @@
             results = await asyncio.gather(*futures)
             assert [result.refusal for result in results] == [0] * 20
 
-    async def test_superseded_epoch_is_refused(self):
-        """A step of an earlier epoch is not run."""
+    async def test_stale_epoch_is_refused(self):
+        """The engine refuses a step of an earlier epoch."""
         async with connected() as (link, _):
             await link.submit(prompt_step("one", epoch=3))
             with pytest.raises(StageFailedError, match="stale_epoch"):
                 await link.submit(prompt_step("one", epoch=2))
 
-    async def test_cache_moves_between_engines(self):
-        """An exported cache goes on elsewhere at the same position."""
+    async def test_cache_transfer(self):
+        """A request continues on another engine from an exported cache."""
         async with connected() as (old, _), connected() as (new, _):
             first = await old.submit(prompt_step("one"))
             cache = await old.export_cache("one", 1, timeout_s=2)
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Calls to plain services: whole answers, and no second run."""
+"""Calls to plain services: complete responses, retries, hedging and deadlines."""
 
 from __future__ import annotations
 
@@ -37,27 +37,27 @@
 
 
 SERVERS = (plain_server("a"), plain_server("b"), plain_server("c"))
-#: Tries of what a standstill of this machine may hide.
+#: Max tries of a check that a stall of the test machine can invalidate.
 MAX_TRIES = 5
 
 
-def ready_after(answer, wait_s):
-    """Return an answer that comes over a socket, also while the loop stands still."""
+def delayed_response(answer, wait_s):
+    """Return a delayed response that arrives also while the event loop is stalled."""
 
-    async def come():
+    async def respond():
         await asyncio.to_thread(time.sleep, wait_s)
         return answer
 
-    return come
+    return respond
 
 
-def stand_still(*, after_s, for_s):
-    """Let the event loop stand still."""
+def stall_loop(*, after_s, for_s):
+    """Stall the event loop."""
     asyncio.get_running_loop().call_later(after_s, time.sleep, for_s)
 
 
-class NoForwarding:
-    """Stands in for handing calls to other instances."""
+class FakeForwarding:
+    """Fake forwarding to other instances."""
 
     def __init__(self, *, has_peer):
         self._has_peer = has_peer
@@ -66,20 +66,20 @@
         return self._has_peer
 
 
-def iter_answers(*answers, wait_s=0.0):
-    """Return a check of links with these answers, the last one time after time."""
-    left = list(answers)
+def link_check_results(*answers, wait_s=0.0):
+    """Return a link check with these results, repeating the last one."""
+    results = list(answers)
 
     async def settled(_service):
-        if len(left) == 1:
+        if len(results) == 1:
             await asyncio.sleep(wait_s)
-        return left.pop(0) if len(left) > 1 else left[0]
+        return results.pop(0) if len(results) > 1 else results[0]
 
     return settled
 
 
-async def no_retry(_service):
-    """Stand in for a retry budget that is spent."""
+async def reject_retry(_service):
+    """Fake an exhausted retry budget."""
     return False
 
 
@@ -93,7 +93,7 @@
     may_retry=None,
     **changes,
 ):
-    """Serve a call; return what the caller got."""
+    """Serve a call; return the caller's responder."""
     route = call_route(
         kind=kind,
         is_resumable=False,
@@ -110,8 +110,8 @@
     return responder
 
 
-def unanswered_call(*, target_s, wait_s, kind=CallKind.ONCE):
-    """Return a call that gets no answer, and its routing."""
+def call_without_response(*, target_s, wait_s, kind=CallKind.ONCE):
+    """Return a call without a response, and its routing."""
     routing = make_routing(FakeClient(asyncio.Event()), *SERVERS, rng=random.Random(1))
     route = call_route(
         kind=kind,
@@ -122,36 +122,36 @@
     return PlainCall(routing, make_call(timeout_s=wait_s), admitted(route)), routing
 
 
-class TestSafe:
-    async def test_answer_passes_unchanged(self):
-        """Status, headers and body are the server's."""
+class TestRepeatableCalls:
+    async def test_response_is_forwarded_unchanged(self):
+        """Status, headers and body are forwarded as received."""
         got = await serve(FakeClient(FakeAnswer(b"ab", b"c", status=201)))
         assert (got.status, got.body, got.headers) == (201, b"abc", (("Proof", "one"),))
 
-    async def test_lost_answer_is_asked_for_elsewhere(self):
-        """A call that may run twice goes to another server."""
+    async def test_lost_response_is_retried(self):
+        """A repeatable call is retried on another server."""
         client = FakeClient(FakeAnswer(b"a", ANSWER_LOST), FakeAnswer(b"abc"))
         got = await serve(client)
         assert got.body == b"abc"
         assert len({send.server.id for send in client.sends}) == 2
 
-    async def test_failure_is_tried_again_and_then_passed_on(self):
-        """The last failure reaches the caller with its proof."""
+    async def test_server_error_is_retried_then_forwarded(self):
+        """After the last attempt the caller receives the server's error response."""
         client = FakeClient(
             FakeAnswer(b"one", status=500), FakeAnswer(b"two", status=500)
         )
         got = await serve(client)
         assert (got.status, got.body, len(client.sends)) == (500, b"two", 2)
 
-    async def test_slow_server_is_given_up_on(self):
-        """Once the answer would be late anyway, another server is asked."""
+    async def test_slow_send_is_hedged(self):
+        """A send without a response in time is hedged on another server."""
         client = FakeClient(asyncio.Event(), FakeAnswer(b"abc"))
         got = await serve(client, wait_s=0.5)
         assert got.body == b"abc"
 
-    async def test_silent_server_is_left_alone_by_others(self):
-        """Also where the call may run once only, and its caller's time ends first."""
-        call, routing = unanswered_call(target_s=0.05, wait_s=0.3)
+    async def test_late_server_is_in_cooldown(self):
+        """A non-repeatable call past twice the target puts the server into cooldown."""
+        call, routing = call_without_response(target_s=0.05, wait_s=0.3)
         serving = asyncio.create_task(call.serve(FakeResponder()))
         await asyncio.sleep(0.2)
         assert len(routing.health.in_cooldown(now_s=clocks.now_s())) == 1
@@ -159,46 +159,46 @@
             await serving
         assert len(routing.health.in_cooldown(now_s=clocks.now_s())) == 1
 
-    async def test_server_that_is_silent_past_its_target_is_sent_to(self):
-        """The caller's time ends between the target and twice as much."""
+    async def test_server_past_target_at_deadline_is_in_cooldown(self):
+        """A deadline between the target and twice the target starts the cooldown."""
         for _ in range(MAX_TRIES):
-            call, routing = unanswered_call(target_s=0.1, wait_s=0.15)
-            began_s = clocks.now_s()
+            call, routing = call_without_response(target_s=0.1, wait_s=0.15)
+            started_s = clocks.now_s()
             async with measure_loop_lag() as lag:
                 with pytest.raises(DeadlineError):
                     await call.serve(FakeResponder())
-            # The target counts running time, the caller's limit doesn't.
-            if lag.stalled_s(began_s, clocks.now_s()) < 0.04:
+            # Stalls extend the target but not the caller's deadline.
+            if lag.stalled_s(started_s, clocks.now_s()) < 0.04:
                 break
         assert len(routing.health.in_cooldown(now_s=clocks.now_s())) == 1
 
-    async def test_standstill_is_no_silence_of_the_server(self):
-        """The target is not over where the loop stood still for most of the time."""
-        call, routing = unanswered_call(target_s=0.1, wait_s=0.15)
+    async def test_stall_starts_no_cooldown(self):
+        """Time in which the event loop is stalled does not count towards the target."""
+        call, routing = call_without_response(target_s=0.1, wait_s=0.15)
         asyncio.get_running_loop().call_later(0.02, time.sleep, 0.12)
         with pytest.raises(DeadlineError):
             await call.serve(FakeResponder())
         assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
-    async def test_caller_s_short_time_says_nothing(self):
-        """A server that had less time than its target is not left alone."""
-        call, routing = unanswered_call(target_s=0.5, wait_s=0.05)
+    async def test_short_deadline_starts_no_cooldown(self):
+        """A deadline below the target starts no cooldown of the server."""
+        call, routing = call_without_response(target_s=0.5, wait_s=0.05)
         with pytest.raises(DeadlineError):
             await call.serve(FakeResponder())
         assert not routing.health.in_cooldown(now_s=clocks.now_s())
 
-    async def test_refusals_cost_no_attempt(self):
-        """Servers that have not run the call don't use up its attempts."""
+    async def test_refusals_use_no_attempt(self):
+        """Refusals do not count towards the route's max attempts."""
         client = FakeClient(refused_answer(), refused_answer(), FakeAnswer(b"abc"))
         assert (await serve(client)).body == b"abc"
 
-    async def test_unframed_answer_is_not_called_whole(self):
-        """An answer without a length is passed on without one."""
+    async def test_unframed_response_stays_unframed(self):
+        """A response without a length is forwarded without one."""
         got = await serve(FakeClient(FakeAnswer(b"abc", is_framed=False)))
         assert got.is_framed is False
 
-    async def test_answer_that_stalls_counts_once(self):
-        """A body that doesn't end uses up one attempt, not two."""
+    async def test_stalled_response_uses_one_attempt(self):
+        """A body that stalls uses one attempt, not two."""
         client = FakeClient(
             FakeAnswer(b"a", asyncio.Event()),
             FakeAnswer(b"b", asyncio.Event()),
@@ -208,59 +208,59 @@
         assert (got.body, len(client.sends)) == (b"abc", 3)
 
 
-class TestOnce:
-    async def test_lost_answer_is_not_sent_again(self):
-        """A call that may have run is not repeated, nor said not to have run."""
+class TestNonRepeatableCalls:
+    async def test_lost_response_is_not_retried(self):
+        """A call that may have run is neither retried nor reported as not run."""
         client = FakeClient(FakeAnswer(ANSWER_LOST))
         with pytest.raises(ServiceLostError) as caught:
             await serve(client, kind=CallKind.ONCE)
         assert (len(client.sends), caught.value.ran) == (1, "maybe")
 
-    async def test_refused_call_goes_elsewhere(self):
-        """A server's word that nothing ran allows another send."""
+    async def test_refused_call_is_retried(self):
+        """A call that a server reports as not run is sent to another one."""
         client = FakeClient(refused_answer(), NotSentError("no"), FakeAnswer(b"abc"))
         got = await serve(client, kind=CallKind.ONCE, max_attempts=1)
         assert got.body == b"abc"
 
-    async def test_connections_are_fresh(self):
-        """No rested connection is used, whose close would leave it open."""
+    async def test_new_connection_is_used(self):
+        """An idle connection may be closed on send, so that the outcome is unknown."""
         client = FakeClient(FakeAnswer(b"abc"))
         await serve(client, kind=CallKind.ONCE)
         assert client.sends[0].needs_new_connection
 
-    async def test_failure_is_passed_on_at_once(self):
-        """A failure is the answer."""
+    async def test_server_error_is_forwarded(self):
+        """A server error is forwarded without a retry."""
         got = await serve(FakeClient(FakeAnswer(b"no", status=500)), kind=CallKind.ONCE)
         assert got.status == 500
 
     @pytest.mark.parametrize("status", [408, 429, 503])
-    async def test_failure_that_would_say_not_run(self, status):
-        """A server's status that means "not run" isn't passed on for a run."""
+    async def test_status_for_not_run_is_not_forwarded(self, status):
+        """A status that means "not run" is not forwarded for a call that has run."""
         client = FakeClient(FakeAnswer(b"no", status=status))
         with pytest.raises(ServiceLostError) as caught:
             await serve(client, kind=CallKind.ONCE)
         assert caught.value.ran == "maybe"
         assert str(status) in caught.value.detail
 
-    async def test_deadline_says_maybe(self):
-        """Out of time, it is not said that nothing ran."""
+    async def test_deadline_reports_possible_run(self):
+        """After its deadline, a call in flight is reported as possibly run."""
         with pytest.raises(DeadlineError) as caught:
             await serve(FakeClient(asyncio.Event()), kind=CallKind.ONCE, wait_s=0.1)
         assert caught.value.ran == "maybe"
 
 
-class TestSilence:
-    """The first send is silent past the route's target; its server goes on."""
+class TestHedging:
+    """The response to the first send arrives after the route's target latency."""
 
-    async def test_answer_is_dropped_without_budget_for_another(self):
-        """Without a second send there is only the first to wait for."""
-        client = FakeClient(ready_after(FakeAnswer(b"abc"), 0.4))
-        got = await serve(client, wait_s=1.0, may_retry=no_retry)
+    async def test_first_response_without_retry_budget(self):
+        """Without retry budget for a hedge, the first response is awaited."""
+        client = FakeClient(delayed_response(FakeAnswer(b"abc"), 0.4))
+        got = await serve(client, wait_s=1.0, may_retry=reject_retry)
         assert (got.body, len(client.sends)) == (b"abc", 1)
 
-    async def test_answer_is_dropped_without_another_server(self):
-        """The only server that is listed refuses the second send."""
-        client = FakeClient(ready_after(FakeAnswer(b"abc"), 0.4), refused_answer())
+    async def test_first_response_without_another_server(self):
+        """A hedge that the only server refuses does not cancel the first send."""
+        client = FakeClient(delayed_response(FakeAnswer(b"abc"), 0.4), refused_answer())
         got = await serve(client, wait_s=1.0, servers=SERVERS[:1])
         assert got.body == b"abc"
 
@@ -273,21 +273,26 @@
             NotSentError("no"),
         ],
     )
-    async def test_answer_is_dropped_for_one_that_does_not_come(self, second):
-        """A second send that fails or is silent leaves the first one's answer."""
+    async def test_first_response_after_failed_hedge(self, second):
+        """A hedge that fails or gets no response does not cancel the first send."""
         client = FakeClient(
-            ready_after(FakeAnswer(b"abc"), 0.6), second, ANSWER_LOST, ANSWER_LOST
+            delayed_response(FakeAnswer(b"abc"), 0.6), second, ANSWER_LOST, ANSWER_LOST
         )
         got = await serve(client, wait_s=1.0)
         assert (got.status, got.body) == (200, b"abc")
 
     @pytest.mark.parametrize("has_peer", [True, False])
-    async def test_answer_is_dropped_without_an_instance_to_forward_to(self, has_peer):
-        """The links are believed lost while the first server still works."""
-        call, routing = unanswered_call(target_s=0.05, wait_s=1.0, kind=CallKind.SAFE)
-        routing.client.answers = [ready_after(FakeAnswer(b"abc"), 0.6)]
-        routing.forwarding = NoForwarding(has_peer=has_peer)
-        routing.link_watch.settled = iter_answers(False, True)
+    async def test_lost_links_with_send_in_flight(self, has_peer):
+        """The links are found lost while the first send is in flight.
+
+        It is abandoned only if another instance can serve the call.
+        """
+        call, routing = call_without_response(
+            target_s=0.05, wait_s=1.0, kind=CallKind.SAFE
+        )
+        routing.client.answers = [delayed_response(FakeAnswer(b"abc"), 0.6)]
+        routing.forwarding = FakeForwarding(has_peer=has_peer)
+        routing.link_watch.settled = link_check_results(False, True)
         responder = FakeResponder()
         if has_peer:
             with pytest.raises(MustForwardError):
@@ -297,25 +302,27 @@
             await call.serve(responder)
             assert responder.body == b"abc"
 
-    async def test_answer_is_dropped_that_comes_during_a_check_of_the_links(self):
-        """It is there when the links are found lost."""
-        call, routing = unanswered_call(target_s=0.05, wait_s=0.6, kind=CallKind.SAFE)
-        routing.client.answers = [ready_after(FakeAnswer(b"abc"), 0.3)]
-        routing.forwarding = NoForwarding(has_peer=True)
-        routing.link_watch.settled = iter_answers(False, True, wait_s=0.2)
+    async def test_response_during_link_check(self):
+        """A response received during the link check is used, even if links are lost."""
+        call, routing = call_without_response(
+            target_s=0.05, wait_s=0.6, kind=CallKind.SAFE
+        )
+        routing.client.answers = [delayed_response(FakeAnswer(b"abc"), 0.3)]
+        routing.forwarding = FakeForwarding(has_peer=True)
+        routing.link_watch.settled = link_check_results(False, True, wait_s=0.2)
         responder = FakeResponder()
         await call.serve(responder)
         assert responder.body == b"abc"
 
-    async def test_slower_send_goes_on_after_the_answer(self):
-        """Once one server has answered, the other one's work is broken off."""
+    async def test_slower_send_is_cancelled(self):
+        """The remaining send is cancelled after the first response."""
         slow = FakeAnswer(b"a", asyncio.Event())
         await serve(FakeClient(slow, FakeAnswer(b"abc")), wait_s=0.5)
         await asyncio.sleep(0)
         assert slow.closed is False
 
-    async def test_sends_go_on_after_the_caller_left(self):
-        """Both servers' work is broken off."""
+    async def test_sends_are_cancelled_on_disconnect(self):
+        """Sends in flight are cancelled when the caller disconnects."""
         answers = [FakeAnswer(b"a", asyncio.Event()) for _ in range(2)]
         client = FakeClient(*answers)
         serving = asyncio.create_task(serve(client, wait_s=0.5))
@@ -325,88 +332,95 @@
         serving.cancel()
         await asyncio.wait([serving])
         await asyncio.sleep(0)
-        assert [one.closed for one in answers] == [False, False]
+        assert [answer.closed for answer in answers] == [False, False]
 
-    async def test_answer_that_came_in_the_last_moment_is_dropped(self):
-        """Two sends end at once: the answer counts, not the failure."""
-        come = asyncio.Event()
+    async def test_simultaneous_success_and_failure(self):
+        """Of two sends completed at once, the successful response is forwarded."""
+        ready = asyncio.Event()
 
-        async def answered():
-            await come.wait()
+        async def succeed():
+            await ready.wait()
             return FakeAnswer(b"abc")
 
-        async def failed():
-            await come.wait()
+        async def fail():
+            await ready.wait()
             return FakeAnswer(b"no", status=500)
 
-        asyncio.get_running_loop().call_later(0.4, come.set)
-        got = await serve(FakeClient(answered, failed), wait_s=1.0)
+        asyncio.get_running_loop().call_later(0.4, ready.set)
+        got = await serve(FakeClient(succeed, fail), wait_s=1.0)
         assert got.body == b"abc"
 
 
-class TestStandstill:
-    """The instance stands still while an answer comes."""
+class TestEventLoopStall:
+    """The event loop stalls while a response arrives."""
 
     @pytest.mark.parametrize("for_s", [0.6, 2.5])
-    async def test_own_standstill_is_taken_for_silence(self, for_s):
-        """Nothing is sent again, and no server is reported as silent."""
-        call, routing = unanswered_call(target_s=0.3, wait_s=4.0, kind=CallKind.SAFE)
-        routing.client.answers = [ready_after(FakeAnswer(b"abc"), 0.2), ANSWER_LOST]
-        told = []
-        routing.broadcast_fault_report = told.append
+    async def test_stall_causes_no_hedge(self, for_s):
+        """A stall of the event loop causes no hedge and no fault report."""
+        call, routing = call_without_response(
+            target_s=0.3, wait_s=4.0, kind=CallKind.SAFE
+        )
+        routing.client.answers = [
+            delayed_response(FakeAnswer(b"abc"), 0.2),
+            ANSWER_LOST,
+        ]
+        reports = []
+        routing.broadcast_fault_report = reports.append
         responder = FakeResponder()
-        stand_still(after_s=0.1, for_s=for_s)
+        stall_loop(after_s=0.1, for_s=for_s)
         await call.serve(responder)
         assert (responder.body, len(routing.client.sends)) == (b"abc", 1)
-        assert not told
+        assert not reports
 
     @pytest.mark.parametrize("kind", [CallKind.ONCE, CallKind.SAFE])
-    async def test_answer_is_dropped_at_a_deadline_in_a_standstill(self, kind):
-        """What came before the deadline is read and given."""
-        client = FakeClient(ready_after(FakeAnswer(b"abc"), 0.1))
-        stand_still(after_s=0.05, for_s=0.6)
+    async def test_response_before_deadline_in_stall(self, kind):
+        """A response received before a deadline within a stall is forwarded."""
+        client = FakeClient(delayed_response(FakeAnswer(b"abc"), 0.1))
+        stall_loop(after_s=0.05, for_s=0.6)
         got = await serve(client, kind=kind, wait_s=0.3, target_s=0.2)
         assert (got.body, len(client.sends)) == (b"abc", 1)
 
-    async def test_standstill_prolongs_the_deadline(self):
-        """Without an answer the call ends soon after the instance goes on."""
-        began_s = clocks.now_s()
-        stand_still(after_s=0.05, for_s=0.6)
+    async def test_deadline_after_stall(self):
+        """Without a response, the call fails soon after the stall."""
+        started_s = clocks.now_s()
+        stall_loop(after_s=0.05, for_s=0.6)
         with pytest.raises(DeadlineError):
             await serve(FakeClient(asyncio.Event()), kind=CallKind.ONCE, wait_s=0.3)
-        assert clocks.now_s() - began_s < 0.8
+        assert clocks.now_s() - started_s < 0.8
 
 
 class TestDeadline:
     @pytest.fixture
     def late_clock(self, monkeypatch):
-        """Return a function that runs a test's work on a clock 0.4 ms behind timers."""
+        """Return a function that runs a coroutine on a clock 0.4 ms behind timers."""
 
-        async def with_late_clock(work):
+        async def with_late_clock(scenario):
             loop = asyncio.get_running_loop()
-            began_s = loop.time()
+            started_s = loop.time()
             monkeypatch.setattr(
-                clocks, "now_s", lambda: began_s + (loop.time() - began_s) * 0.999
+                clocks, "now_s", lambda: started_s + (loop.time() - started_s) * 0.999
             )
-            await work()
+            await scenario()
 
-        return lambda work: virtual_time.run(lambda: with_late_clock(work), monkeypatch)
+        return lambda scenario: virtual_time.run(
+            lambda: with_late_clock(scenario), monkeypatch
+        )
 
-    def test_time_limit_is_reported_as_lost_answer(self, late_clock):
-        """A timer that ends within the clock's last millisecond is the deadline's."""
+    def test_early_timer_counts_as_deadline(self, late_clock):
+        """A timer that fires less than a millisecond early counts as the deadline."""
 
-        async def work():
+        async def scenario():
             with pytest.raises(DeadlineError):
                 await serve(FakeClient(asyncio.Event()), kind=CallKind.ONCE, wait_s=0.4)
 
-        late_clock(work)
+        late_clock(scenario)
 
     @pytest.mark.parametrize(
         ("wait_s", "limit"),
         [(0.1, "the caller's time limit"), (5.0, "the route's timeout of 0.2 s")],
     )
-    async def test_line_does_not_tell_whose_limit_it_was(self, wait_s, limit):
-        """A short timeout of the route and an impatient caller look alike."""
+    async def test_error_names_the_limit(self, wait_s, limit):
+        """The error names the limit: the route's timeout or the caller's."""
         with pytest.raises(DeadlineError) as caught:
             await serve(
                 FakeClient(asyncio.Event()),
@@ -416,28 +430,28 @@
             )
         assert limit in caught.value.detail
 
-    def test_call_is_sent_again_at_its_deadline(self, late_clock):
-        """No server gets a call that has no time left."""
+    def test_no_retry_at_deadline(self, late_clock):
+        """A call whose deadline has passed is not retried."""
         client = FakeClient(asyncio.Event(), asyncio.Event())
 
-        async def work():
+        async def scenario():
             with pytest.raises(DeadlineError):
                 await serve(client, wait_s=0.4, target_s=0.5)
 
-        late_clock(work)
+        late_clock(scenario)
         assert len(client.sends) == 1
 
 
-class TestRefused:
-    async def test_all_full(self):
-        """The caller hears that nothing ran, and when to come back."""
+class TestUnavailable:
+    async def test_servers_at_capacity(self):
+        """The caller is told that the call was not run, and when to retry."""
         with pytest.raises(OverloadedError) as caught:
             await serve(FakeClient(*(refused_answer() for _ in range(4))))
         assert caught.value.ran == "no"
         assert caught.value.retry_after_s is not None
 
-    async def test_nobody_listed(self):
-        """Without any server the refusal says so."""
+    async def test_no_server_listed(self):
+        """Without a listed server, the call is reported as not run."""
         with pytest.raises(ServiceUnreachableError) as caught:
             await serve(FakeClient(), servers=())
         assert caught.value.ran == "no"
--- a/tests/test_work_ids.py
+++ b/tests/test_work_ids.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which requests are the same piece of work."""
+"""Ids of requests' work."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 class TestWorkId:
-    def test_same_request_is_the_same_work(self):
-        """Nothing else than its parts counts, and nothing of them is shown."""
+    def test_same_request_has_same_id(self):
+        """The id depends only on the request, and has a fixed length."""
         assert work_id(**SAMPLE) == work_id(**SAMPLE)
         assert len(work_id(**SAMPLE)) == 32
 
@@ -34,17 +34,17 @@
             ("body", b"a menu "),
         ],
     )
-    def test_each_part_counts(self, part, other):
-        """Another caller's same request is other work."""
+    def test_each_input_changes_the_id(self, part, other):
+        """A difference in any input, such as the caller, changes the id."""
         assert work_id(**SAMPLE | {part: other}) != work_id(**SAMPLE)
 
-    def test_parts_do_not_run_together(self):
-        """What ends one part and begins the next is told apart."""
-        one = work_id(**SAMPLE | {"host": "ab", "target": "c"})
-        assert one != work_id(**SAMPLE | {"host": "a", "target": "bc"})
+    def test_inputs_are_delimited(self):
+        """Inputs whose concatenations are equal have different ids."""
+        first = work_id(**SAMPLE | {"host": "ab", "target": "c"})
+        assert first != work_id(**SAMPLE | {"host": "a", "target": "bc"})
 
-    def test_callers_are_told_apart_by_the_first_part(self):
-        """What is kept can be counted for each caller."""
+    def test_prefix_identifies_the_caller(self):
+        """The ids of a caller's works have a common prefix."""
         other = work_id(**SAMPLE | {"body": b""})
         assert caller_of(other) == caller_of(work_id(**SAMPLE))
         assert caller_of(work_id(**SAMPLE | {"caller": "d"})) != caller_of(other)
