--- a/src/violethatch/_engine_link.py
+++ b/src/violethatch/_engine_link.py
@@ -84,8 +84,8 @@
         self.url = url
         self.hello: wire.Hello | None = None
         self.load = wire.Load(0, 0, False, [])
-        self.view = LoadView()
-        self.stall = StallLimit(initial_s=stall_initial_s, floor_s=stall_floor_s)
+        self.load_view = LoadView()
+        self.stall_limit = StallLimit(initial_s=stall_initial_s, floor_s=stall_floor_s)
         self.is_stalled = False
         self.late_results = 0
         self._silence_limit_s = silence_limit_s
@@ -95,10 +95,10 @@
         self._steps: list[wire.Step] = []
         self._cancels: list[wire.Cancel] = []
         self._orders: list[wire.Order] = []
-        self._pending_orders: dict[int, asyncio.Future[wire.Ordered]] = {}
+        self._pending_orders: dict[int, asyncio.Future[wire.OrderResult]] = {}
         self._transfers: list[bytes] = []
         self._pending_transfers: dict[
-            tuple[int, str, int], asyncio.Future[wire.Cache | wire.Imported]
+            tuple[int, str, int], asyncio.Future[wire.Cache | wire.ImportResult]
         ] = {}
         self._wake = asyncio.Event()
         self._last_frame_s = 0.0
@@ -132,7 +132,7 @@
         self._cancels.append(wire.Cancel(request, epoch))
         self._wake.set()
 
-    async def order(self, order: wire.Order, *, timeout_s: float) -> wire.Ordered:
+    async def order(self, order: wire.Order, *, timeout_s: float) -> wire.OrderResult:
         """Send a fenced order; return the engine's response.
 
         Raises:
@@ -173,7 +173,7 @@
 
     async def _transfer_cache(
         self, frame: bytes, key: tuple[int, str, int], timeout_s: float
-    ) -> wire.Cache | wire.Imported:
+    ) -> wire.Cache | wire.ImportResult:
         """Send a frame of a cache transfer; return the response."""
         if self.hello is None:
             raise StageFailedError(self.runner_id, "not connected")
@@ -182,7 +182,7 @@
         self._transfers.append(frame)
         self._wake.set()
         try:
-            response: wire.Cache | wire.Imported
+            response: wire.Cache | wire.ImportResult
             response = await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
             raise StageFailedError(self.runner_id, "cache transfer timed out") from None
@@ -267,7 +267,7 @@
                 self._handle_result(result, now_s)
         elif kind == wire.FrameKind.LOAD:
             self.load = wire.decode_load(body)
-            self.view.reported(self.load.active, now_s=now_s)
+            self.load_view.reported(self.load.active, now_s=now_s)
             self._on_change()
         elif kind == wire.FrameKind.HELLO:
             self.hello = wire.decode_hello(body)
@@ -276,14 +276,16 @@
         elif kind == wire.FrameKind.EXPORTED:
             self._handle_transfer(kind, wire.decode_cache(body))
         elif kind == wire.FrameKind.IMPORTED:
-            self._handle_transfer(kind, wire.decode_imported(body))
+            self._handle_transfer(kind, wire.decode_import_result(body))
         elif kind == wire.FrameKind.ORDERED:
-            response = wire.decode_ordered(body)
+            response = wire.decode_order_result(body)
             future = self._pending_orders.get(response.order_id)
             if future is not None and not future.done():
                 future.set_result(response)
 
-    def _handle_transfer(self, kind: int, response: wire.Cache | wire.Imported) -> None:
+    def _handle_transfer(
+        self, kind: int, response: wire.Cache | wire.ImportResult
+    ) -> None:
         """Resolve the pending cache transfer of a response."""
         future = self._pending_transfers.get((kind, response.request, response.epoch))
         if future is not None and not future.done():
@@ -312,10 +314,10 @@
 
     def _record_step_time(self, elapsed_s: float) -> None:
         """Update the estimates with the time of a single-position step."""
-        self.stall.observe(elapsed_s)
-        self.view.observed(elapsed_s)
+        self.stall_limit.observe(elapsed_s)
+        self.load_view.observed(elapsed_s)
 
-    def sweep(self, now_s: float) -> None:
+    def check_timeouts(self, now_s: float) -> None:
         """Fail overdue steps, and mark the runner stalled if it makes no progress."""
         if self.hello is None:
             return
@@ -345,7 +347,7 @@
 
         A runner that returns results of other steps meanwhile is busy, not stalled.
         """
-        limit_s = self.stall.limit_s(positions=pending.positions)
+        limit_s = self.stall_limit.limit_s(positions=pending.positions)
         elapsed_s = now_s - pending.submitted_s
         if self._last_result_s > pending.submitted_s:
             return (
--- a/src/violethatch/_plain_calls.py
+++ b/src/violethatch/_plain_calls.py
@@ -220,7 +220,7 @@
         if server is None:
             return None
         is_retry = self.sends > 0
-        if is_retry and not await self._routing.retries.may_retry(service):
+        if is_retry and not await self._routing.retries.acquire_retry(service):
             return None
         if self._has_completed_attempt():
             if is_retry:
--- a/src/violethatch/_retry_budgets.py
+++ b/src/violethatch/_retry_budgets.py
@@ -32,23 +32,23 @@
         self.settings = settings
         self._is_usable = is_usable
         #: Returns the number of known serving instances; None for a single instance.
-        self.instances: Callable[[], int] | None = None
+        self.instance_count: Callable[[], int] | None = None
         #: Requests retries for a service from other instances.
-        self.ask_for_retries: Callable[[str], Awaitable[bool]] = _grant_nothing
+        self.request_retries: Callable[[str], Awaitable[bool]] = _grant_nothing
         self._budgets: dict[str, RetryShare] = {}
 
     def count_request(self, service: str) -> None:
         """Count a caller's request, which adds a fraction of a retry."""
-        budget = self.budget(service).own
+        budget = self.budget(service).own_budget
         budget.resize(self._reserve())
         budget.deposit()
 
-    async def may_retry(self, service: str) -> bool:
+    async def acquire_retry(self, service: str) -> bool:
         """Withdraw a retry of a service; return whether one was available."""
         budget = self.budget(service)
         deadline_s = clocks.now_s() + _GRANT_TIMEOUT_S
-        while budget.left(now_s=clocks.now_s()) < 1.0:
-            is_granted = await self.ask_for_retries(service)
+        while budget.available(now_s=clocks.now_s()) < 1.0:
+            is_granted = await self.request_retries(service)
             if not is_granted or clocks.now_s() >= deadline_s:
                 break
         is_available = budget.withdraw(now_s=clocks.now_s())
@@ -58,17 +58,17 @@
 
     def return_retry(self, service: str) -> None:
         """Return a retry whose send was rejected before it started."""
-        self.budget(service).own.give_back()
+        self.budget(service).own_budget.give_back()
 
-    def give_retries(self, service: str, requested: float) -> float:
+    def grant_retries(self, service: str, requested: float) -> float:
         """Withdraw and return the retries of a service granted to another instance."""
         if service not in self._budgets and not self._is_usable(service):
             return 0.0
-        return self.budget(service).give(requested)
+        return self.budget(service).grant(requested)
 
-    def take_retries(self, service: str, amount: float) -> None:
+    def receive_retries(self, service: str, amount: float) -> None:
         """Add retries that another instance has granted."""
-        self.budget(service).take(amount, now_s=clocks.now_s())
+        self.budget(service).add_grant(amount, now_s=clocks.now_s())
 
     def budget(self, service: str) -> RetryShare:
         """Return this instance's share of a service's retries."""
@@ -82,10 +82,10 @@
     def _reserve(self) -> float:
         """Return this instance's share of the total retry reserve."""
         policy = self.settings.policy
-        if self.instances is None:
+        if self.instance_count is None:
             return policy.retry_reserve
         total = self.settings.bounds.retry_slack * policy.retry_slack_part
-        instance_count = self.instances()
+        instance_count = self.instance_count()
         return total / instance_count if instance_count else _INITIAL_RESERVE
 
 
--- a/src/violethatch/_retry_link.py
+++ b/src/violethatch/_retry_link.py
@@ -29,10 +29,10 @@
 class Account(Protocol):
     """An instance's retry budgets by service."""
 
-    def give_retries(self, service: str, requested: float) -> float:
+    def grant_retries(self, service: str, requested: float) -> float:
         """Withdraw and return the amount granted to another instance."""
 
-    def take_retries(self, service: str, amount: float) -> None:
+    def receive_retries(self, service: str, amount: float) -> None:
         """Add an amount that another instance has granted."""
 
 
@@ -66,7 +66,7 @@
         datagrams.on(RetryAskDatagram, self._handle_request)
         datagrams.on(RetryGiftDatagram, self._handle_grant)
 
-    async def ask(self, service: str) -> bool:
+    async def request(self, service: str) -> bool:
         """Request retries from peers; return whether any were granted in time.
 
         Grants that arrived during a stall of the event loop may be too old, so that
@@ -131,7 +131,7 @@
 
     def _handle_request(self, message: RetryAskDatagram) -> None:
         """Grant retries to another instance, if available."""
-        amount = self._account.give_retries(message.service, message.wanted)
+        amount = self._account.grant_retries(message.service, message.wanted)
         if not amount:
             return
         directory = self._datagrams.directory
@@ -149,7 +149,7 @@
         if pending is None or message.sender not in pending.peers:
             return  # expired request or duplicate datagram
         pending.peers.discard(message.sender)
-        self._account.take_retries(pending.service, message.amount)
+        self._account.receive_retries(pending.service, message.amount)
         events.log(
             events.RETRIES_GIVEN,
             service=pending.service,
--- a/src/violethatch/_repeated_reads.py
+++ b/src/violethatch/_retrying_reader.py
@@ -26,7 +26,7 @@
 _MIN_LONG_POLL_S = 5.0
 
 
-class RepeatedReads:
+class RetryingReader:
     """Reads tables of a store and retries lost reads.
 
     Args:
@@ -34,9 +34,11 @@
         on_lost: Called with the table of each lost read.
     """
 
-    def __init__(self, store: TableStore, *, on_lost: Callable[[str], None]) -> None:
+    def __init__(
+        self, store: TableStore, *, on_read_lost: Callable[[str], None]
+    ) -> None:
         self._store = store
-        self._notify_lost = on_lost
+        self._notify_lost = on_read_lost
         self._read_lost = asyncio.Event()
 
     async def read_table(self, table: str) -> TableView:
--- a/src/violethatch/retry_shares.py
+++ b/src/violethatch/retry_shares.py
@@ -46,18 +46,18 @@
     """
 
     def __init__(self, budget: RetryBudget) -> None:
-        self.own = budget
+        self.own_budget = budget
         #: Received grants: expiry time and remaining amount.
         self._grants: collections.deque[tuple[float, float]] = collections.deque()
 
-    def left(self, *, now_s: float) -> float:
+    def available(self, *, now_s: float) -> float:
         """Return the available retries, including grants."""
         self._expire(now_s)
-        return self.own.balance + sum(amount for _, amount in self._grants)
+        return self.own_budget.balance + sum(amount for _, amount in self._grants)
 
     def withdraw(self, *, now_s: float) -> bool:
         """Withdraw one retry, first from grants; return whether one was available."""
-        if self.left(now_s=now_s) < 1.0:
+        if self.available(now_s=now_s) < 1.0:
             return False
         remaining = 1.0
         while self._grants and remaining > 0.0:
@@ -66,21 +66,21 @@
             remaining -= used
             if amount > used:
                 self._grants.appendleft((expiry_s, amount - used))
-        self.own.balance -= remaining
+        self.own_budget.balance -= remaining
         return True
 
-    def give(self, requested: float) -> float:
+    def grant(self, requested: float) -> float:
         """Withdraw and return the amount granted to another instance; 0 if too small.
 
         Received grants are excluded, so that they can't circulate.
         """
-        granted = min(requested, GRANT_FRACTION * self.own.balance)
+        granted = min(requested, GRANT_FRACTION * self.own_budget.balance)
         if granted < _MIN_GRANT:
             return 0.0
-        self.own.balance -= granted
+        self.own_budget.balance -= granted
         return granted
 
-    def take(self, amount: float, *, now_s: float) -> None:
+    def add_grant(self, amount: float, *, now_s: float) -> None:
         """Add an amount that another instance has granted."""
         self._grants.append((now_s + GRANT_TTL_S, amount))
 
--- a/src/violethatch/work_ids.py
+++ b/src/violethatch/work_ids.py
@@ -52,7 +52,7 @@
     return caller_digest.hexdigest() + work_digest.hexdigest()
 
 
-def part_id(part: str, *, caller: str | None = None) -> str:
+def prompt_part_id(part: str, *, caller: str | None = None) -> str:
     """Return the id of a prompt part.
 
     Args:
@@ -71,7 +71,7 @@
     return _PART_PREFIX + part_digest + caller_digest
 
 
-def is_part(trait: str) -> bool:
+def is_prompt_part(trait: str) -> bool:
     """Return whether an id identifies a prompt part.
 
     .. versionadded:: 26.7.0
@@ -79,7 +79,7 @@
     return trait.startswith(_PART_PREFIX)
 
 
-def part_of(trait: str) -> str:
+def prompt_part_prefix(trait: str) -> str:
     """Return the prefix that the ids of a prompt part have for any caller.
 
     .. versionadded:: 26.7.0
@@ -87,7 +87,7 @@
     return trait[: 2 * (CALLER_BYTES + _PART_BYTES)]
 
 
-def caller_of(work: str) -> str:
+def caller_prefix(work: str) -> str:
     """Return the prefix of a work id that identifies the caller.
 
     Prompt part ids have a common prefix instead.
--- a/tests/test_repeated_reads.py
+++ b/tests/test_repeated_reads.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from violethatch._repeated_reads import RepeatedReads
+from violethatch._retrying_reader import RetryingReader
 from violethatch.errors import ReadLostError, TableUnavailableError
 from violethatch.store_era import NO_ERA
 from violethatch.upstream import TableView
@@ -47,7 +47,7 @@
     Otherwise the instances' table would be read again only after its wait of 20 s.
     """
     store, lost = UnresponsiveStore(), []
-    reads = RepeatedReads(store, on_lost=lost.append)
+    reads = RetryingReader(store, on_read_lost=lost.append)
     async with asyncio.timeout(2):
         versions = await asyncio.gather(
             read(reads, "instances", 20.0), read(reads, "op", 1.0)
@@ -60,7 +60,7 @@
 async def test_read_is_retried_once():
     """A second lost read raises an error instead of another retry."""
     store = UnresponsiveStore()
-    reads = RepeatedReads(store, on_lost=lambda _table: None)
+    reads = RetryingReader(store, on_read_lost=lambda _table: None)
 
     async def lose(*_args, **_options):
         store.calls.append("lost")
@@ -82,5 +82,5 @@
 
     store.read_changes = refuse
     with pytest.raises(TableUnavailableError):
-        await read(RepeatedReads(store, on_lost=lambda _table: None), "op", 1.0)
+        await read(RetryingReader(store, on_read_lost=lambda _table: None), "op", 1.0)
     assert store.calls == ["refused"]
