--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -54,7 +54,7 @@
         one = share(350)
         assert not one.withdraw(now_s=0.0)
         for _ in range(3):
-            one.take(0.25, now_s=0.0)
+            one.add_grant(0.25, now_s=0.0)
         assert one.withdraw(now_s=0.1)
         assert not one.withdraw(now_s=0.1)
 
@@ -98,13 +98,13 @@
     def retry(self, at_s, who, cut):
         """Try a retry; without one, ask others, of whose answers some are lost."""
         one = self.shares[who]
-        if one.left(now_s=at_s) < 1.0 and who not in cut:
+        if one.available(now_s=at_s) < 1.0 and who not in cut:
             for other in self.rng.sample(range(len(self.shares)), k=6):
                 if other == who or other in cut:
                     continue
                 given = self.shares[other].grant(8.0)
                 if given and self.rng.random() < 0.9:
-                    one.take(given, now_s=at_s)
+                    one.add_grant(given, now_s=at_s)
         if one.withdraw(now_s=at_s):
             self.retries.append(at_s)
             return True
