--- a/src/violethatch/_retrying_reader.py
+++ b/src/violethatch/_retrying_reader.py
@@ -31,7 +31,7 @@
 
     Args:
         store: The store.
-        on_lost: Called with the table of each lost read.
+        on_read_lost: Called with the table of each lost read.
     """
 
     def __init__(
