--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -444,7 +444,7 @@
 
 class TestUnavailable:
     async def test_servers_at_capacity(self):
-        """The caller is told that the call was not run, and when to retry."""
+        """The error reports that the call was not run, and when to retry."""
         with pytest.raises(OverloadedError) as caught:
             await serve(FakeClient(*(refused_answer() for _ in range(4))))
         assert caught.value.ran == "no"
--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -205,13 +205,13 @@
 class Account:
     """Grants and receives retries, and records the amounts."""
 
-    def __init__(self, left=0.0):
-        self.left = left
+    def __init__(self, balance=0.0):
+        self.balance = balance
         self.received = 0.0
 
     def grant_retries(self, _service, requested):
-        granted = min(requested, self.left / 2)
-        self.left -= granted
+        granted = min(requested, self.balance / 2)
+        self.balance -= granted
         return granted
 
     def receive_retries(self, _service, amount):
@@ -237,14 +237,14 @@
     async def test_peers_grant_retries(self):
         """The received amount equals what the peers have withdrawn."""
         accounts = await request_retries(Wire(20))
-        granted = sum(2.0 - account.left for account in accounts.values())
+        granted = sum(2.0 - account.balance for account in accounts.values())
         assert accounts["i0"].received == pytest.approx(granted)
         assert granted == pytest.approx(6.0)
 
     async def test_duplicate_grants_are_ignored(self):
         """A duplicated grant is added once."""
         accounts = await request_retries(Wire(20), times=3)
-        granted = sum(2.0 - account.left for account in accounts.values())
+        granted = sum(2.0 - account.balance for account in accounts.values())
         assert accounts["i0"].received <= granted
 
     async def test_next_request_goes_to_other_peers(self):
