--- a/src/violethatch/_connection_choice.py
+++ b/src/violethatch/_connection_choice.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Whether calls go out on idle connections, or on new ones.
+"""Choice between pooled and new connections for calls.
 
-Connections may fall silent together, for good and without a reset.  Once an answer was
-lost, those that were idle then are not used any more.
+Pooled connections can become unresponsive at the same time, permanently and without a
+reset. After a lost response, connections that were idle at the time are not reused.
 """
 
 from __future__ import annotations
@@ -16,28 +16,30 @@
     """Chooses the session for calls of one kind.
 
     Args:
-        kept: Keeps its connections.
-        fresh: Opens one for each call.
-        max_idle_s: For how long *kept* keeps an idle one, in seconds.
+        pooled: A session that reuses its connections.
+        unpooled: A session that opens a new connection for each call.
+        max_idle_s: For how long *pooled* keeps idle connections, in seconds.
     """
 
     def __init__(
         self,
-        kept: aiohttp.ClientSession,
-        fresh: aiohttp.ClientSession,
+        pooled: aiohttp.ClientSession,
+        unpooled: aiohttp.ClientSession,
         *,
         max_idle_s: float,
     ) -> None:
-        self._kept = kept
-        self._fresh = fresh
+        self._pooled = pooled
+        self._unpooled = unpooled
         self._max_idle_s = max_idle_s
-        self._fresh_until_s = 0.0
+        self._unpooled_until_s = 0.0
 
     @property
     def session(self) -> aiohttp.ClientSession:
         """The session for the next call."""
-        return self._fresh if clocks.now_s() < self._fresh_until_s else self._kept
+        return (
+            self._unpooled if clocks.now_s() < self._unpooled_until_s else self._pooled
+        )
 
     def record_lost_response(self) -> None:
-        """Note that an answer was lost."""
-        self._fresh_until_s = clocks.now_s() + self._max_idle_s
+        """Avoid pooled connections until those that are idle now have been closed."""
+        self._unpooled_until_s = clocks.now_s() + self._max_idle_s
--- a/src/violethatch/_hosts.py
+++ b/src/violethatch/_hosts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Runners as placement sees them, and what fits on them."""
+"""Runners as seen by placement, and their capacity."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .layers import LayerRange
 
 
-#: The fewest usual requests whose KV cache a runner has to have room for.
-_LEAST_REQUESTS = 6
+#: The minimum number of typical requests whose KV cache must fit on each runner.
+_MIN_REQUESTS = 6
 
 
 class Host(NamedTuple):
-    """A runner as placement sees it.
+    """A runner as seen by placement.
 
     .. versionadded:: 26.1.0
     """
@@ -27,23 +27,23 @@
 
 
 def apply_orders(hosts: Sequence[Host], orders: Mapping[str, LayerRange]) -> list[Host]:
-    """Return hosts as they are once orders are carried out."""
+    """Return the hosts as they are once the orders have been executed."""
     return [host._replace(held=orders.get(host.id, host.held)) for host in hosts]
 
 
 def min_kv_tokens(engine: EngineSpec) -> float:
-    """Return the tokens whose KV cache each runner has to have room for."""
-    return _LEAST_REQUESTS * engine.usual_tokens
+    """Return the number of tokens whose KV cache must fit on each runner."""
+    return _MIN_REQUESTS * engine.usual_tokens
 
 
 def kv_capacity_tokens(host: Host, layers: LayerRange, engine: EngineSpec) -> float:
-    """Return the tokens whose KV cache fits on a host beside *layers*."""
+    """Return the number of tokens whose KV cache fits on a host next to *layers*."""
     return engine.kv_capacity_tokens(engine.kinds[host.kind], layers.size)
 
 
 def can_hold(hosts: Sequence[Host], engine: EngineSpec) -> bool:
-    """Tell whether hosts together hold the model and some requests."""
+    """Return whether the hosts together can hold the model and the minimum KV cache."""
     tokens = min_kv_tokens(engine)
     kinds = (engine.kinds[host.kind] for host in hosts)
-    room = sum(engine.max_layers(kind, kv_tokens=tokens) for kind in kinds)
-    return room >= engine.layer_count
+    capacity = sum(engine.max_layers(kind, kv_tokens=tokens) for kind in kinds)
+    return capacity >= engine.layer_count
--- a/src/violethatch/_listed.py
+++ b/src/violethatch/_listed.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A listed server, as everything else speaks of it; `backends` exports it."""
+"""The `BackendServer` type; `backends` re-exports it."""
 
 from __future__ import annotations
 
@@ -8,21 +8,20 @@
 from .layers import LayerRange
 
 
-#: Stands between a server's id and its start.
-START_MARK = "/"
-#: How many digits a server's start has at most.
-_START_DIGITS = 15
+#: Separates a server's id from its start time.
+START_SEPARATOR = "/"
+_MAX_START_DIGITS = 15
 
 
 class BackendServer(NamedTuple):
-    """A backend server of some service.
+    """A backend server of a service.
 
     Attributes:
-        id: Names the server; it may start again under the same one.
-        layers: The layers a runner holds; None for an empty runner and for
+        id: The server's id, which it keeps across restarts.
+        layers: The layers that a runner holds; None for a runner without layers and for
             servers without an engine.
-        kind: The accelerator kind of a runner, or an empty text.
-        started_ms: When it started, by its own time of day; 0 where it doesn't tell.
+        kind: The accelerator kind of a runner, or an empty string.
+        started_ms: When the server started, by its own wall clock; 0 if not reported.
     """
 
     id: str
@@ -38,18 +37,18 @@
 
     @property
     def lifetime(self) -> str:
-        """What names this start of the server, and none before or after it."""
+        """Identifies this start of the server, unlike its id."""
         return format_lifetime(self.id, self.started_ms)
 
 
 def format_lifetime(server_id: str, started_ms: int) -> str:
-    """Return what names one start of a server; its id where it tells no start."""
-    return f"{server_id}{START_MARK}{started_ms}" if started_ms else server_id
+    """Return the identifier of a server's start; its id if the start is unknown."""
+    return f"{server_id}{START_SEPARATOR}{started_ms}" if started_ms else server_id
 
 
 def parse_lifetime(lifetime: str) -> tuple[str, int]:
-    """Return a server's id, and its start or 0, from what names both."""
-    server_id, _, born = lifetime.rpartition(START_MARK)
-    if server_id and born.isdecimal() and len(born) <= _START_DIGITS:
-        return server_id, int(born)
+    """Split the identifier of a server's start into the server's id and start, or 0."""
+    server_id, _, start = lifetime.rpartition(START_SEPARATOR)
+    if server_id and start.isdecimal() and len(start) <= _MAX_START_DIGITS:
+        return server_id, int(start)
     return lifetime, 0
--- a/src/violethatch/_pace_link.py
+++ b/src/violethatch/_pace_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Slow runners' words on their pace, passed on to all instances."""
+"""Exchange of slow runners' reports between instances."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from .slow_runners import SlowRunners
 
 
-#: Datagrams in a second that an instance may send to all.
-_MOST_A_SECOND = 5
+#: Maximum number of datagrams that an instance broadcasts per second.
+_MAX_DATAGRAMS_PER_S = 5
 
 
 class PaceLink:
-    """Tells all instances what runners have said, and takes their words in.
+    """Broadcasts the reports of slow runners and receives those of other instances.
 
     Args:
-        datagrams: Carries them.
-        paces: What is known of slow runners.
+        datagrams: The transport.
+        slow_runners: The known slow runners.
     """
 
-    def __init__(self, datagrams: PeerDatagrams, paces: SlowRunners) -> None:
+    def __init__(self, datagrams: PeerDatagrams, slow_runners: SlowRunners) -> None:
         self._datagrams = datagrams
-        self._paces = paces
-        self._allowance = SendAllowance(most_a_second=_MOST_A_SECOND)
-        datagrams.on(PaceDatagram, self._take)
+        self._slow_runners = slow_runners
+        self._allowance = SendAllowance(most_a_second=_MAX_DATAGRAMS_PER_S)
+        datagrams.on(PaceDatagram, self._receive)
 
     def broadcast(self, server_id: str, slowness: float) -> None:
-        """Tell all instances of a runner's word; too many are not told."""
+        """Broadcast a runner's report to all instances, unless over the rate limit."""
         if not self._allowance.take():
             return
         directory = self._datagrams.directory
@@ -35,6 +35,8 @@
             message = PaceDatagram(peer.token, directory.own.id, server_id, slowness)
             self._datagrams.send(peer, message)
 
-    def _take(self, message: PaceDatagram) -> None:
-        """Take another instance's word in."""
-        self._paces.record(message.server_id, message.slowness, now_s=clocks.now_s())
+    def _receive(self, message: PaceDatagram) -> None:
+        """Record a report from another instance."""
+        self._slow_runners.record(
+            message.server_id, message.slowness, now_s=clocks.now_s()
+        )
--- a/src/violethatch/_probes.py
+++ b/src/violethatch/_probes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Asking runners whether they are there, when a request is silent."""
+"""Liveness probes of runners whose requests have stalled."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from .upstream import KeptBackError, RunnerClient, RunnerReport
 
 
-#: How long the outcome of a probe counts, in seconds: many requests wait for the
-#: same runner, and each probe is priced.
-_PROBE_LIFE_S = 0.5
+#: For how long a probe's result is reused, in seconds: many requests depend on the same
+#: runner, and each probe has a cost.
+_RESULT_TTL_S = 0.5
 
 
-class _Outcome(NamedTuple):
-    """What came of a probe; without a report the runner is silent, if it was asked."""
+class _ProbeResult(NamedTuple):
+    """The result of a probe; a runner that was probed without a report is silent."""
 
     report: RunnerReport | None
-    known_s: float
-    is_asked: bool = True
+    received_s: float
+    was_sent: bool = True
 
 
 class ProbeResults(NamedTuple):
-    """What probes of some runners have found within a time.
+    """The results of probing several runners within a timeout.
 
     Attributes:
-        silent: Those that refuse the connection, or gave no answer in a probe's time.
-        pending: Those that have not answered yet.
-        skipped: Those that want nothing now, so that they were not asked.
-        reports: By id, what the others told.
+        silent: Runners that refused the connection or did not respond in time.
+        pending: Runners whose probe is still in flight.
+        skipped: Runners in back-off, which were not probed.
+        reports: The reports of the remaining runners, by id.
     """
 
     silent: tuple[BackendServer, ...]
@@ -43,12 +43,12 @@
 
 
 class Probes:
-    """Probes of one instance, each shared by all requests that want it.
+    """The probes of one instance, each shared by all requests that need it.
 
     Args:
-        client: Asks the runners.
-        on_silent: Told of each runner that gave no answer.
-        on_report: Told of each runner's report.
+        client: Sends the probes.
+        on_silent: Called with each runner that did not respond.
+        on_report: Called with each runner and its report.
     """
 
     def __init__(
@@ -63,77 +63,81 @@
         self._client = client
         self._on_silent = on_silent
         self._on_report = on_report
-        self._known: dict[str, _Outcome] = {}
-        self._running: dict[str, asyncio.Task[_Outcome]] = {}
+        self._results: dict[str, _ProbeResult] = {}
+        self._tasks: dict[str, asyncio.Task[_ProbeResult]] = {}
 
     async def probe(
         self, servers: Iterable[BackendServer], *, timeout_s: float
     ) -> ProbeResults:
-        """Return what is found of some runners within a time.
+        """Probe runners and return the results available within a timeout.
 
         Args:
-            servers: Whom to ask.
-            timeout_s: How long to wait for answers, in seconds of running time; the
-                probes go on.
+            servers: The runners to probe.
+            timeout_s: For how long to wait for results, in seconds of running time;
+                probes in flight continue afterwards.
         """
-        asked = list(servers)
-        tasks = {one.id: self._probe(one) for one in asked}
-        running = [task for task in tasks.values() if isinstance(task, asyncio.Task)]
+        probed = list(servers)
+        results = {server.id: self._result_or_task(server) for server in probed}
+        running = [task for task in results.values() if isinstance(task, asyncio.Task)]
         if running:
-            # Who has started a probe may be cancelled; the others still want it.
+            # The request that started a probe may be cancelled while others await it.
             await running_time.wait(
                 running, limit_s=timeout_s, return_when=asyncio.ALL_COMPLETED
             )
-        silent, pending, unasked = [], [], []
+        silent, pending, skipped = [], [], []
         reports: dict[str, RunnerReport] = {}
-        for server in asked:
-            outcome = _outcome(tasks[server.id])
-            if outcome is None:
+        for server in probed:
+            result = _completed_result(results[server.id])
+            if result is None:
                 pending.append(server)
-            elif not outcome.is_asked:
-                unasked.append(server)
-            elif outcome.report is None:
+            elif not result.was_sent:
+                skipped.append(server)
+            elif result.report is None:
                 silent.append(server)
             else:
-                reports[server.id] = outcome.report
-        return ProbeResults(tuple(silent), tuple(pending), reports, tuple(unasked))
+                reports[server.id] = result.report
+        return ProbeResults(tuple(silent), tuple(pending), reports, tuple(skipped))
 
     def forget(self, server_id: str) -> None:
-        """Forget a server that is no longer listed."""
-        self._known.pop(server_id, None)
-
-    def _probe(self, server: BackendServer) -> _Outcome | asyncio.Task[_Outcome]:
-        """Return what is known of a server, or the probe that will tell."""
-        known = self._known.get(server.id)
-        if known is not None and clocks.now_s() - known.known_s < _PROBE_LIFE_S:
-            return known
-        probe = self._running.get(server.id)
+        """Remove the result of a server that is no longer listed."""
+        self._results.pop(server_id, None)
+
+    def _result_or_task(
+        self, server: BackendServer
+    ) -> _ProbeResult | asyncio.Task[_ProbeResult]:
+        """Return a server's recent result, or the task of a probe in flight."""
+        result = self._results.get(server.id)
+        if result is not None and clocks.now_s() - result.received_s < _RESULT_TTL_S:
+            return result
+        probe = self._tasks.get(server.id)
         if probe is None:
-            probe = asyncio.create_task(self._ask(server))
-            self._running[server.id] = probe
+            probe = asyncio.create_task(self._send_probe(server))
+            self._tasks[server.id] = probe
         return probe
 
-    async def _ask(self, server: BackendServer) -> _Outcome:
-        """Ask a server, and remember what it told."""
+    async def _send_probe(self, server: BackendServer) -> _ProbeResult:
+        """Probe a server and store the result."""
         report: RunnerReport | None = None
-        is_asked = True
+        was_sent = True
         try:
             report = await self._client.report(server)
         except KeptBackError:
-            is_asked = False
+            was_sent = False
         finally:
-            self._running.pop(server.id, None)
-        outcome = _Outcome(report, clocks.now_s(), is_asked)
-        self._known[server.id] = outcome
+            self._tasks.pop(server.id, None)
+        result = _ProbeResult(report, clocks.now_s(), was_sent)
+        self._results[server.id] = result
         if report is not None:
             self._on_report(server, report)
-        elif is_asked:
+        elif was_sent:
             self._on_silent(server)
-        return outcome
+        return result
 
 
-def _outcome(probe: _Outcome | asyncio.Task[_Outcome]) -> _Outcome | None:
-    """Return what a probe has found, or None while it has found nothing."""
-    if isinstance(probe, _Outcome):
+def _completed_result(
+    probe: _ProbeResult | asyncio.Task[_ProbeResult],
+) -> _ProbeResult | None:
+    """Return a probe's result, or None while it is in flight."""
+    if isinstance(probe, _ProbeResult):
         return probe
     return probe.result() if probe.done() else None
--- a/src/violethatch/fault_reports.py
+++ b/src/violethatch/fault_reports.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Trouble with backend servers, told from instance to instance.
+"""Faults of backend servers, as reported by other instances.
 
-Each instance meets a dead runner by itself, and each time a retry is spent on it.
-What another runner has said is passed on to all instances at once; what an
-instance has only seen itself may be trouble of its own link, and counts for the
-others once two have told it.
+Without reports, each instance detects a dead runner on its own, at the cost of a retry.
+A fault that was reported by another runner takes effect on all instances at once. One
+that only an instance itself has observed may be caused by its own link, and takes
+effect on the others once two instances have reported it.
 
 .. versionadded:: 26.1.0
 """
@@ -19,48 +19,51 @@
 from .runner_health import RunnerHealth, ServerFault
 
 
-#: Troubles that a runner has told of another.
-_TOLD = frozenset((ServerFault.NAMED, ServerFault.ABSENT))
-#: How many instances have to tell what they have seen themselves.
-_WITNESSES = 2
-#: How long such a word waits for another's, in seconds.
-_WORD_LIFE_S = 3.0
-#: How much longer others leave a server alone, at most, as a part: not all should
-#: try it again at the same moment.
-_SPREAD_PART = 0.5
-#: The longest rest that another instance's word can cause, in seconds.
-_LONGEST_HEARD_S = 6.0
+#: Faults that a runner reports about another one.
+_RUNNER_REPORTED = frozenset((ServerFault.NAMED, ServerFault.ABSENT))
+#: The number of instances that must report a fault that they observed themselves.
+_MIN_REPORTERS = 2
+#: For how long such a report counts towards that number, in seconds.
+_REPORT_TTL_S = 3.0
+#: Maximum random extension of a reported cooldown, as a fraction of its length, so that
+#: instances don't retry a server at the same time.
+_JITTER_FRACTION = 0.5
+#: Maximum cooldown that another instance's report can cause, in seconds.
+_MAX_REMOTE_COOLDOWN_S = 6.0
 
 
 class FaultReport(NamedTuple):
-    """A server's trouble, and how long its witness leaves it alone.
+    """A server's fault, and the cooldown on the reporting instance.
 
     .. versionadded:: 26.1.0
     """
 
     server_id: str
-    trouble: ServerFault
+    fault: ServerFault
     cooldown_s: float
-    #: Which start of the server had it; 0 where it tells none.
+    #: The start of the server that had the fault; 0 if unknown.
     started_ms: int = 0
 
 
-def should_broadcast(trouble: ServerFault) -> bool:
-    """Tell whether others should hear of a trouble.
+def should_broadcast(fault: ServerFault) -> bool:
+    """Return whether a fault is to be reported to other instances.
 
     .. versionadded:: 26.1.0
     """
-    return trouble in _TOLD or trouble in (ServerFault.SILENT, ServerFault.LEAVING)
+    return fault in _RUNNER_REPORTED or fault in (
+        ServerFault.SILENT,
+        ServerFault.LEAVING,
+    )
 
 
 class FaultReportReceiver:
-    """What an instance makes of others' sightings.
+    """Processes the fault reports of other instances.
 
     Args:
         health: The instance's own view.
-        on_leaving: Takes in that a server has said that it leaves, and tells whether
-            that is news.
-        rng: Spreads the ends of rests.
+        on_leaving: Called with the report of a server's shutdown; returns whether it is
+            new.
+        rng: Randomizes the length of cooldowns.
 
     .. versionadded:: 26.1.0
     """
@@ -69,40 +72,40 @@
         self,
         health: RunnerHealth,
         *,
-        on_leaving: Callable[[FaultReport], bool] = lambda _sighting: False,
+        on_leaving: Callable[[FaultReport], bool] = lambda _report: False,
         rng: random.Random,
     ) -> None:
         self._health = health
         self._on_leaving = on_leaving
         self._rng = rng
-        #: By server, who has told of its silence, and when.
-        self._words: dict[str, dict[str, float]] = {}
-
-    def receive(self, sighting: FaultReport, *, witness: str, now_s: float) -> bool:
-        """Take a sighting in; tell whether the server is left alone for it."""
-        if sighting.trouble is ServerFault.LEAVING:
-            return self._on_leaving(sighting)
-        if sighting.trouble not in _TOLD and not self._is_confirmed(
-            sighting.server_id, witness, now_s
+        #: By server, the times of the latest reports of its silence by reporter.
+        self._reports: dict[str, dict[str, float]] = {}
+
+    def receive(self, report: FaultReport, *, reporter: str, now_s: float) -> bool:
+        """Process a report; return whether it takes effect."""
+        if report.fault is ServerFault.LEAVING:
+            return self._on_leaving(report)
+        if report.fault not in _RUNNER_REPORTED and not self._is_confirmed(
+            report.server_id, reporter, now_s
         ):
             return False
-        rest_s = min(_LONGEST_HEARD_S, max(0.0, sighting.cooldown_s))
-        rest_s *= 1.0 + self._rng.uniform(0.0, _SPREAD_PART)
+        cooldown_s = min(_MAX_REMOTE_COOLDOWN_S, max(0.0, report.cooldown_s))
+        cooldown_s *= 1.0 + self._rng.uniform(0.0, _JITTER_FRACTION)
         return self._health.start_cooldown(
-            sighting.server_id, sighting.trouble, rest_s, now_s=now_s
+            report.server_id, report.fault, cooldown_s, now_s=now_s
         )
 
-    def _is_confirmed(self, server_id: str, witness: str, now_s: float) -> bool:
-        """Tell whether enough instances have told of a server's silence."""
-        words = {
-            one: told_s
-            for one, told_s in self._words.get(server_id, {}).items()
-            if now_s - told_s < _WORD_LIFE_S
+    def _is_confirmed(self, server_id: str, reporter: str, now_s: float) -> bool:
+        """Return whether enough instances have reported a server's silence."""
+        reports = {
+            instance_id: received_s
+            for instance_id, received_s in self._reports.get(server_id, {}).items()
+            if now_s - received_s < _REPORT_TTL_S
         }
-        words[witness] = now_s
-        self._words[server_id] = words
-        return len(words) >= _WITNESSES
+        reports[reporter] = now_s
+        self._reports[server_id] = reports
+        return len(reports) >= _MIN_REPORTERS
 
     def forget(self, server_id: str) -> None:
-        """Forget a server that is no longer listed."""
-        self._words.pop(server_id, None)
+        """Remove the reports of a server that is no longer listed."""
+        self._reports.pop(server_id, None)
--- a/src/violethatch/pipe_share.py
+++ b/src/violethatch/pipe_share.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""An instance's part of the pipe between availability zones.
+"""An instance's share of the pipe, the link between availability zones.
 
-All prompts that cross it pass in turn, so that some too many make all of them
-late.  Instances don't know of each other's crossings: each lets a request cross
-with the probability that the pipe time it has earned since its last try covers
-what the request costs if all instances do the same.  Together they then stay
-below what the pipe carries, also when a lost runner sends everybody across at
-the same moment.
+Prompts that cross the pipe are transferred one after another, so that a slight overload
+delays all of them. Instances have no information about each other's transfers: each
+lets a request cross with the probability that the pipe time it has accrued since its
+last attempt covers the request's cost if all instances do the same. Together they stay
+below the pipe's capacity, even if the loss of a runner makes all of them cross at once.
 
 .. versionadded:: 26.1.0
 """
@@ -16,36 +15,36 @@
 import random
 
 
-#: The most pipe time that can be earned, in ms: about what waits for the pipe when
-#: all try at once; the sites' aim for a first event is 500 ms.
-_MOST_EARNED_MS = 400.0
+#: Maximum pipe time that can be accrued, in ms. It is about the queue that forms if all
+#: instances cross at once, and below the sites' target of 500 ms for a first event.
+_MAX_CREDIT_MS = 400.0
 _MS_PER_S = 1000.0
 
 
 class PipeShare:
-    """Decides which of an instance's requests may cross.
+    """Decides which of an instance's requests may cross the pipe.
 
     Args:
-        rng: Draws.
+        rng: Draws the random decisions.
 
     .. versionadded:: 26.1.0
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._tried_s: float | None = None
+        self._last_attempt_s: float | None = None
 
     def may_cross(self, cost_ms: float, *, now_s: float) -> bool:
-        """Tell whether a request may cross now.
+        """Return whether a request may cross now.
 
         Args:
-            cost_ms: How long the pipe is taken up if each instance lets a request
+            cost_ms: For how long the pipe is occupied if each instance lets a request
                 like this one cross, in ms.
             now_s: The current monotonic time, in seconds.
         """
-        earned_ms = _MOST_EARNED_MS
-        if self._tried_s is not None:
-            since_ms = (now_s - self._tried_s) * _MS_PER_S
-            earned_ms = min(_MOST_EARNED_MS, since_ms)
-        self._tried_s = now_s
-        return self._rng.random() * cost_ms <= earned_ms
+        credit_ms = _MAX_CREDIT_MS
+        if self._last_attempt_s is not None:
+            elapsed_ms = (now_s - self._last_attempt_s) * _MS_PER_S
+            credit_ms = min(_MAX_CREDIT_MS, elapsed_ms)
+        self._last_attempt_s = now_s
+        return self._rng.random() * cost_ms <= credit_ms
--- a/src/violethatch/retry_after.py
+++ b/src/violethatch/retry_after.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Reading how long a server asks to be left alone.
+"""Parsing of ``Retry-After`` headers.
 
 HTTP allows a number of seconds or a date (RFC 9110, 10.2.3); some servers send
-fractions of a second.  A figure that can't be understood says nothing, and is told to
-whoever logs it: nothing may be lost by it.
+fractions of a second. An invalid value has no effect other than being returned for
+logging.
 
 .. versionadded:: 26.5.0
 """
@@ -17,22 +17,23 @@
 from typing import NamedTuple
 
 
-#: The longest time that is kept, in seconds.  A server that wants more is one to look
-#: after by hand: a day covers what is planned, and a figure beyond it (a time of day,
-#: microseconds) is a mistake that would leave a sound server alone for good.
+#: Maximum delay, in seconds. Planned delays are at most a day; a larger value, such as
+#: a timestamp or a number of microseconds, is a mistake that would disable a healthy
+#: server permanently. A server that needs a longer delay must be handled by an
+#: operator.
 MAX_RETRY_AFTER_S = 86_400.0
-#: The longest figure that is read, in characters: a date has 29.
-_MOST_CHARACTERS = 64
+#: Maximum length of a value that is parsed; a date has 29 characters.
+_MAX_HEADER_CHARS = 64
 _NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 
 
 class RetryAfter(NamedTuple):
-    """What a server's figures come to.
+    """The parsed values of a server's headers.
 
     Attributes:
-        delay_s: For how long it wants nothing, in seconds; None if it doesn't tell.
-        invalid: A figure that can't be understood, shortened; empty if there is none.
-        exceeds_max: Whether it asked for more than is kept.
+        delay_s: The requested delay, in seconds; None if there is none.
+        invalid: A value that could not be parsed, shortened; empty if there is none.
+        exceeds_max: Whether a longer delay than the maximum was requested.
 
     .. versionadded:: 26.5.0
     """
@@ -45,55 +46,57 @@
 def parse_retry_after(
     values: Iterable[str], *, server_time: str | None, wall_s: float
 ) -> RetryAfter:
-    """Read an answer's figures; of several the longest counts.
+    """Parse a response's values; the largest of several counts.
 
     Args:
-        values: The header's values as they came, in order.
-        server_time: The answer's own ``Date``, by which a date among them is read:
-            the server's clock may differ from the own one.
-        wall_s: The own time of day, in seconds since 1970, where it tells none.
+        values: The header's values as received, in order.
+        server_time: The response's ``Date`` header. Dates are compared with it because
+            the server's clock may differ from the local one.
+        wall_s: The local wall-clock time, in seconds since 1970, to use without one.
 
     .. versionadded:: 26.5.0
     """
-    lengths_s: list[float] = []
-    unread = ""
+    delays_s: list[float] = []
+    invalid = ""
     for value in values:
-        for part in _parts(value[:_MOST_CHARACTERS].strip()):
-            length_s = _length_s(part, server_time=server_time, wall_s=wall_s)
-            if length_s is None:
-                unread = unread or part or "(empty)"
+        for part in _split_values(value[:_MAX_HEADER_CHARS].strip()):
+            delay_s = _parse_delay_s(part, server_time=server_time, wall_s=wall_s)
+            if delay_s is None:
+                invalid = invalid or part or "(empty)"
             else:
-                lengths_s.append(length_s)
-    if not lengths_s:
-        return RetryAfter(None, unread)
-    longest_s = max(lengths_s)
+                delays_s.append(delay_s)
+    if not delays_s:
+        return RetryAfter(None, invalid)
+    max_delay_s = max(delays_s)
     return RetryAfter(
-        min(MAX_RETRY_AFTER_S, longest_s), unread, longest_s > MAX_RETRY_AFTER_S
+        min(MAX_RETRY_AFTER_S, max_delay_s), invalid, max_delay_s > MAX_RETRY_AFTER_S
     )
 
 
-def _parts(value: str) -> list[str]:
-    """Return a header's figures; a relay may have joined two with a comma."""
+def _split_values(value: str) -> list[str]:
+    """Split a header's value; a proxy may have joined two with a comma."""
     parts = [part.strip() for part in value.split(",")]
     if all(_NUMBER.fullmatch(part) for part in parts):
         return parts
     return [value]
 
 
-def _length_s(part: str, *, server_time: str | None, wall_s: float) -> float | None:
-    """Return the seconds that a figure tells, or None if it can't be understood."""
+def _parse_delay_s(
+    part: str, *, server_time: str | None, wall_s: float
+) -> float | None:
+    """Return the delay in seconds, or None if the value is invalid."""
     if _NUMBER.fullmatch(part):
         return float(part)
-    until_s = _wall_s(part)
+    until_s = _parse_date_s(part)
     if until_s is None:
         return None
-    now_s = _wall_s(server_time) if server_time else None
+    now_s = _parse_date_s(server_time) if server_time else None
     return max(0.0, until_s - (wall_s if now_s is None else now_s))
 
 
-def _wall_s(date: str) -> float | None:
-    """Return a date's seconds since 1970, or None if it is none."""
+def _parse_date_s(date: str) -> float | None:
+    """Return a date in seconds since 1970, or None if it is invalid."""
     try:
         return email.utils.parsedate_to_datetime(date).timestamp()
     except (ValueError, OverflowError, OSError):
-        return None  # the caller tells that it can't be understood
+        return None  # returned to the caller as invalid
--- a/src/violethatch/server_starts.py
+++ b/src/violethatch/server_starts.py
@@ -1,12 +1,13 @@
 # SPDX-License-Identifier: MIT
-"""Which start of a server its entry is of.
+"""Distinguishes the starts of a server by their entries.
 
-A server may start again under the id that it had.  A write of the start before may be
-done after the new one's, since a call without an answer may be done seconds later: its
-entry must not replace the later start's.  A server whose clock stepped back between two
-starts looks the same.  Ways weighed: the highest time of all wins (shuts such a server
-out until its clock has caught up); the newest write wins (sends requests to a start
-that is over); the highest wins for as long as a late write may take, which is chosen.
+A server may restart under the same id. A write of the previous start may be applied
+after the new one's, since a call that timed out may be executed seconds later; its
+entry must not replace the later start's. A server whose clock stepped back between two
+starts looks the same. Considered alternatives: the latest start time always wins, which
+excludes such a server until its clock has caught up; the latest write wins, which
+routes requests to a start that has terminated. Instead, the latest start time wins for
+as long as a delayed write is possible.
 
 .. versionadded:: 26.4.0
 """
@@ -18,70 +19,78 @@
 from ._listed import BackendServer
 
 
-#: For how long after a start was first seen an earlier one's entry counts as a late
-#: write, in seconds: the platform speaks of seconds, 6 s were seen at the most.
+#: For how long after a start was first seen an earlier one's entry counts as a delayed
+#: write, in seconds; the platform states seconds, and up to 6 s occur.
 LATE_WRITE_S = 10.0
 
 
-class _Newest(NamedTuple):
-    """The latest start of a server, and since when it is known."""
+class _LatestStart(NamedTuple):
+    """The latest start of a server, and when it was first seen."""
 
     started_ms: int
     since_s: float
 
 
 class ServerStarts:
-    """The latest starts that one instance has heard of.
+    """The latest known starts of servers.
 
     .. versionadded:: 26.4.0
     """
 
     def __init__(self) -> None:
-        self._newest: dict[str, _Newest] = {}
-        #: Entries of earlier starts that may turn out not to be late.
-        self._waiting: dict[str, BackendServer] = {}
+        self._latest: dict[str, _LatestStart] = {}
+        #: Entries of earlier starts, which may turn out not to be delayed writes.
+        self._deferred: dict[str, BackendServer] = {}
 
-    def admits(
+    def is_current(
         self, server: BackendServer, known: BackendServer | None, *, now_s: float
     ) -> bool:
-        """Tell whether an entry counts now; one of an earlier start has to wait.
+        """Return whether an entry is current; one of an earlier start is deferred.
 
         Args:
             server: The entry.
-            known: The one that counted so far.
+            known: The current entry, if any.
             now_s: The current monotonic time, in seconds.
         """
-        newest = self._recent(server.id, now_s)
-        if newest is not None and 0 < server.started_ms < newest.started_ms:
-            self._waiting[server.id] = server
+        latest = self._recent_start(server.id, now_s)
+        if latest is not None and 0 < server.started_ms < latest.started_ms:
+            self._deferred[server.id] = server
             return False
-        self._waiting.pop(server.id, None)
+        self._deferred.pop(server.id, None)
         is_new = known is None or server.started_ms != known.started_ms
         if server.started_ms and is_new:
-            since = (
-                newest if newest and newest.started_ms == server.started_ms else None
+            start = (
+                latest if latest and latest.started_ms == server.started_ms else None
             )
-            self._newest[server.id] = since or _Newest(server.started_ms, now_s)
+            self._latest[server.id] = start or _LatestStart(server.started_ms, now_s)
         return True
 
-    def gone(self, server_id: str) -> None:
-        """Note that a server's entry is gone: nothing of it waits any more."""
-        self._waiting.pop(server_id, None)
-
-    def due(self, *, now_s: float) -> list[BackendServer]:
-        """Return the entries of earlier starts that have stayed, and now count."""
-        ids = [one for one in self._waiting if self._recent(one, now_s) is None]
-        return [self._waiting.pop(one) for one in ids]
-
-    def forget_old(self, *, now_s: float) -> None:
-        """Forget starts that no late write can be taken for any more."""
-        old = [one for one in self._newest if self._recent(one, now_s) is None]
-        for server_id in old:
-            del self._newest[server_id]
-
-    def _recent(self, server_id: str, now_s: float) -> _Newest | None:
-        """Return a server's latest start, if it was first seen a short while ago."""
-        newest = self._newest.get(server_id)
-        if newest is None or now_s - newest.since_s >= LATE_WRITE_S:
+    def discard_deferred(self, server_id: str) -> None:
+        """Discard the deferred entry of a server that was removed."""
+        self._deferred.pop(server_id, None)
+
+    def pop_due(self, *, now_s: float) -> list[BackendServer]:
+        """Remove and return the deferred entries that are current now."""
+        ids = [
+            server_id
+            for server_id in self._deferred
+            if self._recent_start(server_id, now_s) is None
+        ]
+        return [self._deferred.pop(server_id) for server_id in ids]
+
+    def expire(self, *, now_s: float) -> None:
+        """Remove starts for which delayed writes are no longer possible."""
+        expired = [
+            server_id
+            for server_id in self._latest
+            if self._recent_start(server_id, now_s) is None
+        ]
+        for server_id in expired:
+            del self._latest[server_id]
+
+    def _recent_start(self, server_id: str, now_s: float) -> _LatestStart | None:
+        """Return a server's latest start if it was first seen recently."""
+        latest = self._latest.get(server_id)
+        if latest is None or now_s - latest.since_s >= LATE_WRITE_S:
             return None
-        return newest
+        return latest
--- a/src/violethatch/slow_runners.py
+++ b/src/violethatch/slow_runners.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How slow runners say that they are.
+"""Runners that report being slow.
 
 .. versionadded:: 26.2.0
 """
@@ -11,71 +11,73 @@
 from typing import NamedTuple
 
 
-#: From here on a runner counts as slow: below it, what is lost by reading a prompt
-#: again elsewhere is more than what a slow step costs.
-SLOW = 2.0
-#: How long a runner's word counts, in seconds: it is asked again before that.
-_WORD_LIFE_S = 4.0
-#: How old the word of a slow runner is when it is asked again, in seconds.
-_ASK_AGAIN_S = 2.0
-#: How many instances ask at once, on average.
-_ASKING = 2.0
+#: The factor from which a runner counts as slow. Below it, reading a prompt again on
+#: another runner costs more than slow steps do.
+MIN_SLOWNESS = 2.0
+#: For how long a runner's report is used, in seconds; the runner is probed again
+#: sooner.
+_REPORT_TTL_S = 4.0
+#: The age of a slow runner's report at which the runner is probed again, in seconds.
+_PROBE_AFTER_S = 2.0
+#: How many instances send a probe at the same time, on average.
+_PROBING_INSTANCES = 2.0
 
 
-class _Word(NamedTuple):
-    """What a runner said of its pace, and when."""
+class _Report(NamedTuple):
+    """A runner's reported slowness, and when it was received."""
 
     slowness: float
-    told_s: float
+    received_s: float
 
 
 class SlowRunners:
-    """What runners that are slow have said of themselves.
+    """The latest reports of slow runners.
 
     .. versionadded:: 26.2.0
     """
 
     def __init__(self) -> None:
-        self._words: dict[str, _Word] = {}
+        self._reports: dict[str, _Report] = {}
 
     def record(self, server_id: str, slowness: float, *, now_s: float) -> None:
-        """Take a runner's word in.
+        """Record a runner's report.
 
         Args:
             server_id: The runner.
-            slowness: How many times longer it takes than the engine states.
+            slowness: The factor by which it is slower than its engine specifies.
             now_s: The current monotonic time, in seconds.
         """
-        if slowness < SLOW:
-            self._words.pop(server_id, None)
+        if slowness < MIN_SLOWNESS:
+            self._reports.pop(server_id, None)
         else:
-            self._words[server_id] = _Word(slowness, now_s)
+            self._reports[server_id] = _Report(slowness, now_s)
 
     def slow(self, *, now_s: float) -> dict[str, float]:
-        """Return the slow runners, and how slow they are."""
+        """Return the slowness of slow runners by id."""
         return {
-            server_id: word.slowness
-            for server_id, word in self._words.items()
-            if now_s - word.told_s < _WORD_LIFE_S
+            server_id: report.slowness
+            for server_id, report in self._reports.items()
+            if now_s - report.received_s < _REPORT_TTL_S
         }
 
     def due_for_probe(
         self, *, instances: int, rng: random.Random, now_s: float
     ) -> list[str]:
-        """Return the slow runners that this instance has to ask again.
+        """Return the slow runners that this instance has to probe again.
 
         Args:
-            instances: How many instances know of them; what one is told, all hear.
-            rng: Decides which of many asks.
+            instances: The number of instances that share the result of a probe.
+            rng: Selects a few of many instances.
             now_s: The current monotonic time, in seconds.
         """
-        part = min(1.0, _ASKING / max(1, instances))
+        probability = min(1.0, _PROBING_INSTANCES / max(1, instances))
         return [
             server_id
-            for server_id, word in self._words.items()
-            if now_s - word.told_s >= _ASK_AGAIN_S and rng.random() < part
+            for server_id, report in self._reports.items()
+            if now_s - report.received_s >= _PROBE_AFTER_S
+            and rng.random() < probability
         ]
 
     def forget(self, server_id: str) -> None:
-        """Forget a runner that is no longer listed."""
-        self._words.pop(server_id, None)
+        """Remove a runner that is no longer listed."""
+        self._reports.pop(server_id, None)
--- a/src/violethatch/upstream.py
+++ b/src/violethatch/upstream.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What the router needs of callers, backend servers and the store.
+"""Interfaces between the router and its callers, backend servers and the store.
 
-Adapters implement these protocols; the router knows no header and no status
-beyond what the types here say.
+Adapters implement these protocols. The router depends on no header or status code
+beyond what these types expose.
 
 .. versionadded:: 26.1.0
 """
@@ -26,24 +26,24 @@
 
 
 Headers = Sequence[tuple[str, str]]
-#: By how much a route's timeout may look like a shorter limit of the caller's to the
-#: instance that a call was forwarded to, in seconds.
-_WAY_S = 0.05
+#: Tolerance of `Call.deadline_source`: on an instance that a call was forwarded to, the
+#: route's timeout can appear this much shorter, as if the caller had set a lower limit.
+_FORWARDING_TOLERANCE_S = 0.05
 
 
 class Call(NamedTuple):
-    """A caller's request, read whole.
+    """A caller's request, with its body fully read.
 
     Attributes:
-        id: Names the caller's attempt; passed on as it is.
-        target: Path and query as they were sent.
-        headers: What is passed on: no header of a single connection, no key.
-        deadline_s: Until when the caller waits, in monotonic seconds.
-        last_event_id: The event after which a resumed stream goes on.
-        prompt_tokens: The prompt's size, where the caller tells it.
-        forwarded_by: The instance that took it from its caller, if another one did.
-        prompt_parts: The parts of the prompt that other requests may share, where
-            the caller names them.
+        id: The id of the caller's attempt; forwarded unchanged.
+        target: Path and query as received.
+        headers: The headers to forward, without hop-by-hop headers and the API key.
+        deadline_s: The caller's deadline, in monotonic seconds.
+        last_event_id: The event after which a stream resumes.
+        prompt_tokens: The prompt's size, if the caller sent it.
+        forwarded_by: The instance that received the call from its caller, if another.
+        prompt_parts: Ids of the parts of the prompt that other requests may share, if
+            the caller sent them.
     """
 
     id: str
@@ -61,7 +61,7 @@
     prompt_parts: tuple[str, ...] = ()
 
     def work_id(self, workspace: str | None) -> str:
-        """Return the id of the call's work, the same when its caller comes back."""
+        """Return the id of the call's work, the same for a caller's retries."""
         return work_id(
             caller=workspace,
             method=self.method,
@@ -71,18 +71,18 @@
         )
 
     def deadline_within_s(self, timeout_s: float) -> float:
-        """Return until when the call may take, in monotonic seconds."""
+        """Return the call's deadline under a route's timeout, in monotonic seconds."""
         return min(self.deadline_s, self.received_s + timeout_s)
 
     def deadline_source(self, timeout_s: float) -> str:
-        """Return what ends the call's time: the route's timeout, or its caller."""
-        if self.deadline_s < self.received_s + timeout_s - _WAY_S:
+        """Return a description of what sets the deadline: the route or the caller."""
+        if self.deadline_s < self.received_s + timeout_s - _FORWARDING_TOLERANCE_S:
             return "the caller's time limit"
         return f"the route's timeout of {timeout_s:g} s"
 
 
 class Send(NamedTuple):
-    """One send of a call to a backend server."""
+    """A single attempt to send a call to a backend server."""
 
     call: Call
     server: BackendServer
@@ -91,65 +91,66 @@
     priority: int
     workspace: str | None
     last_event_id: int | None
-    #: Whether to use no connection that rested: its close would leave open
-    #: whether the call has run.
+    #: Whether idle connections must not be reused: if such a connection is closed, it
+    #: is unclear whether the call has run.
     needs_new_connection: bool
 
 
 class ReachOutcome(enum.Enum):
-    """What asking a server over a new connection came to."""
+    """The outcome of probing a server over a new connection."""
 
     ANSWERED = "answered"
-    #: It took the connection and gave no answer in time: it may be busy.
+    #: The server accepted the connection but did not respond in time; it may be busy.
     CONNECTED = "connected"
     SILENT = "silent"
-    #: It wants nothing now, so that it was not asked.
+    #: The server is in back-off, so that no probe was sent.
     UNASKED = "unasked"
 
 
 class NotSentError(Exception):
-    """The server could not be connected to: nothing has run."""
+    """The connection to the server failed: nothing has run."""
 
 
 class SendKind(enum.StrEnum):
-    """What is written to a server."""
+    """The kinds of messages that are sent to a server."""
 
     CALL = "call"
-    #: An order onto another path, for a call that is under way there.
+    #: A reroute order for a call that is in flight on another path.
     MOVE = "move"
-    #: An order to hold layers.
+    #: An order to load layers.
     ORDER = "order"
-    #: A question for the server's report.
+    #: A request for the server's report.
     REPORT = "report"
 
 
 class KeptBackError(NotSentError):
-    """Nothing was written: the server wants nothing, or is no longer to get anything.
+    """Nothing was sent: the server is in back-off, unavailable or rate limited.
 
     Args:
-        reason: Why, in a word.
-        left_s: For how much longer, in seconds; 0 where that is for good.
+        reason: The reason, as a single token.
+        left_s: The remaining time, in seconds; 0 if it is permanent.
     """
 
     def __init__(self, reason: str, left_s: float) -> None:
-        super().__init__(f"kept back: {reason}")
+        super().__init__(f"not sent: {reason}")
         self.reason = reason
         self.left_s = left_s
 
 
-#: Told before a call is sent to a server how many sends may have run then.
+#: Called before a call is sent to a server, with the number of sends that may have run
+#: once it is sent.
 OnSend = Callable[[int], Awaitable[None]]
 
 
 async def ignore_sends(_sends: int) -> None:
-    """Stand in for an `OnSend` where nobody wants to know."""
+    """Do nothing; the default for an `OnSend`."""
 
 
 class AnswerLostError(Exception):
-    """The call may have run; its answer did not come or is not whole.
+    """The call may have run, but its response is missing or incomplete.
 
     Attributes:
-        sends: The sends to servers that may have run.
+        sends: The number of sends to servers that may have run.
     """
 
     def __init__(self, message: str = "", *, sends: int = 1) -> None:
@@ -158,30 +159,31 @@
 
 
 class ConnectionBrokenError(AnswerLostError):
-    """The connection ended before the answer was whole.
+    """The connection was closed before the response was complete.
 
-    The server may have ended with it, or not.
+    The server may or may not have terminated.
     """
 
 
 class ServerSignals(NamedTuple):
-    """What a server says of itself in the head of an answer, whatever that answers.
+    """Flow-control signals from the headers of a server's response to any request.
 
     Attributes:
-        status: The answer's status.
-        backoff_s: For how long it wants nothing from this instance, in seconds; None if
-            it asks for no rest.
-        is_binding: Whether that is a promise to keep, else a wish: a server that has
-            no room for anybody asks for it, one that only limits how much it gets
-            serves others of the same caller meanwhile.
-        is_leaving: It will end.
-        limit_per_s: How many requests a second it takes from all instances together;
-            infinite if it names no limit, None if the answer doesn't tell.
-        invalid: What of it can't be understood, shortened; empty if all can.
-        unknown_headers: Names of words of the platform's that nothing reads.
-        sent_ms: When the server was asked, by the time of day; 0 if that isn't known.
-            Its start may be a later one than the list tells yet.
-        sent_s: The same by the steady clock, in seconds.
+        status: The response's status code.
+        backoff_s: For how long this instance must send nothing, in seconds; None if the
+            response requests no back-off.
+        is_binding: Whether the back-off is mandatory rather than advisory. A server
+            that is full for all callers requests a mandatory one; a server that only
+            limits its load may still serve other requests of the same instance.
+        is_leaving: Whether the server is about to shut down.
+        limit_per_s: The requests per second that the server accepts from all instances
+            together; infinite if it advertises no limit, None if unspecified.
+        invalid: The values that could not be parsed, shortened; empty if there are
+            none.
+        unknown_headers: Names of the platform's headers that are not supported.
+        sent_ms: When the request was sent, in wall-clock time; 0 if unknown. The server
+            may since have restarted without its entry having been updated.
+        sent_s: The same in monotonic seconds.
     """
 
     status: int = 0
@@ -196,13 +198,13 @@
 
     @property
     def finite_limit_per_s(self) -> float | None:
-        """The limit that it names, if it names one."""
-        limit_a_s = self.limit_per_s
-        return None if limit_a_s is None or math.isinf(limit_a_s) else limit_a_s
+        """The advertised limit, or None if there is none."""
+        limit_per_s = self.limit_per_s
+        return None if limit_per_s is None or math.isinf(limit_per_s) else limit_per_s
 
     @property
     def has_signals(self) -> bool:
-        """Whether it says anything beside how many requests it takes."""
+        """Whether any signal other than a rate limit is present."""
         return self.backoff_s is not None or self.is_leaving or bool(self.invalid)
 
 
@@ -210,26 +212,26 @@
 
 
 class FlowControl(Protocol):
-    """Knows what servers have said of themselves, and what may be sent to them."""
+    """Tracks the signals of servers and decides what may be sent to them."""
 
     async def admit(
         self,
         server: BackendServer,
-        sending: SendKind,
+        kind: SendKind,
         request_id: str,
         *,
         priority: int = 0,
     ) -> Permit | None:
-        """Ask for what a send to a server needs, when it is decided.
+        """Acquire the permit for a send to a server, when the send is scheduled.
 
         Args:
-            server: Whom it is for.
-            sending: What it is.
-            request_id: Names the call; empty where it is none.
-            priority: The call's; 0 is the most urgent.
+            server: The server to send to.
+            kind: The kind of message.
+            request_id: The id of the call; empty if there is none.
+            priority: The priority of the call; 0 is the highest.
 
         Returns:
-            The permit to send with, or None where none is needed.
+            The permit to send with, or None if none is required.
 
         Raises:
             KeptBackError: Nothing may be sent.
@@ -238,80 +240,81 @@
     def check_send(
         self,
         server: BackendServer,
-        sending: SendKind,
+        kind: SendKind,
         request_id: str,
         permit: Permit | None = None,
     ) -> None:
-        """Check that something may be sent to a server, right before it is written.
+        """Check that a message may be sent to a server, right before it is written.
 
         Args:
-            server: Whom it is for.
-            sending: What it is.
-            request_id: Names the call; empty where it is none.
-            permit: What it is sent with.
+            server: The server to send to.
+            kind: The kind of message.
+            request_id: The id of the call; empty if there is none.
+            permit: The permit to send with.
 
         Raises:
-            KeptBackError: It may not.
+            KeptBackError: The message must not be sent.
         """
 
     def release_permit(
         self, server: BackendServer, permit: Permit | None, *, was_written: bool
     ) -> None:
-        """Use a permit up, or keep it for another send if nothing was written."""
+        """Consume a permit, or return it for another send if nothing was written."""
 
     def record_signals(
         self, server: BackendServer, signals: ServerSignals, request_id: str
     ) -> None:
-        """Take a server's word in, as soon as an answer's head is there.
+        """Record a server's signals as soon as the response headers are received.
 
         Args:
-            server: Who has answered.
-            signals: What it says.
-            request_id: Names the call; empty where it was none.
+            server: The server that responded.
+            signals: The signals in its response.
+            request_id: The id of the call; empty if there was none.
         """
 
 
 class NoFlowControl:
-    """Lets everything through, and hears nothing."""
+    """Allows all sends and ignores all signals."""
 
     async def admit(
         self,
         _server: BackendServer,
-        _sending: SendKind,
+        _kind: SendKind,
         _request_id: str,
         *,
         priority: int = 0,
     ) -> Permit | None:
-        """Let everything through."""
+        """Allow the send without a permit."""
         return None
 
     def check_send(
         self,
         _server: BackendServer,
-        _sending: SendKind,
+        _kind: SendKind,
         _request_id: str,
         _permit: Permit | None = None,
     ) -> None:
-        """Let everything through."""
+        """Allow the send."""
 
     def release_permit(
         self, _server: BackendServer, _permit: Permit | None, *, was_written: bool
     ) -> None:
-        """Keep no permits."""
+        """Do nothing, since no permits are issued."""
 
     def record_signals(
         self, _server: BackendServer, _signals: ServerSignals, _request_id: str
     ) -> None:
-        """Pass over a server's word."""
+        """Ignore the signals."""
 
 
 class Refusal(NamedTuple):
-    """A server's word that it has not run the call.
+    """A server's statement that it has not run the call.
 
     Attributes:
-        address: Who is at fault, where the answer names another runner.
-        is_misdirected: The server is another one, or lacks the layers.
-        signals: What the server says of itself beside that.
+        address: The address of the runner at fault, if the response names another one.
+        is_misdirected: Whether the request reached the wrong server, or one without the
+            required layers.
+        signals: The flow-control signals in the response.
     """
 
     address: str | None
@@ -320,7 +323,7 @@
 
 
 class ServerLoad(NamedTuple):
-    """A server's own word on its load."""
+    """The load that a server reports."""
 
     running: int
     waiting: int
@@ -328,11 +331,11 @@
 
 
 class Answer(Protocol):
-    """A backend server's answer, its body still to come.
+    """A backend server's response, whose body has yet to be read.
 
     Attributes:
-        is_framed: Whether the answer itself tells where it ends.  One that
-            ends with its connection may have been cut off.
+        is_framed: Whether the response delimits its own body. A body that is delimited
+            by the close of the connection may have been truncated.
     """
 
     status: int
@@ -342,57 +345,57 @@
     load: ServerLoad | None
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Return the body as it comes.
+        """Iterate over the chunks of the body as they are received.
 
         Raises:
-            AnswerLostError: The body broke off.
+            AnswerLostError: The body was interrupted.
         """
 
     def close(self, *, is_whole: bool) -> None:
-        """Let go of the answer; unless it is whole, break it off."""
+        """Release the response; abort it unless it is complete."""
 
 
 class OrderOutcome(enum.StrEnum):
-    """What came of an order."""
+    """The outcome of an order."""
 
     DONE = "done"
     BEGUN = "begun"
-    #: It doesn't fit the runner's state.
+    #: The order conflicts with the runner's state.
     CONFLICT = "conflict"
-    #: A newer holder of the lease has given orders.
+    #: A newer holder of the lease has issued orders.
     FENCED = "fenced"
-    #: The runner refused it.
+    #: The runner rejected the order.
     REFUSED = "refused"
-    #: It was not given: the runner wants nothing now.
+    #: The order was not sent: the runner is in back-off.
     KEPT_BACK = "kept_back"
-    #: No answer: it may be carried out, also late.
+    #: No response: the order may be executed, possibly late.
     UNKNOWN = "unknown"
 
 
 class OrderAnswer(NamedTuple):
-    """An order's outcome, and the runner it names as the obstacle."""
+    """The outcome of an order, and the address of the blocking runner, if named."""
 
     outcome: OrderOutcome
     address: str | None = None
 
     @property
     def is_accepted(self) -> bool:
-        """Whether the runner carries the order out, or has done so."""
+        """Whether the runner is executing the order or has executed it."""
         return self.outcome in (OrderOutcome.DONE, OrderOutcome.BEGUN)
 
 
 class RunnerReport(NamedTuple):
-    """A runner's own report, which lags.
+    """A runner's report on itself, which is delayed.
 
     Attributes:
-        sequence: Orders it has taken since its start.
-        is_busy: An order is under way.
-        waiting: Requests that wait at it.
-        running: Requests that it runs.
-        kv_used_part: The part of its KV cache that is taken.
-        slowness: Above 1, how much slower it is than its kind.
-        stalled: By call, the address of the runner that it waits for.
-        started_ms: When it started, by its own time of day; 0 where it doesn't tell.
+        sequence: The number of orders accepted since the runner started.
+        is_busy: Whether an order is being executed.
+        waiting: The number of queued requests.
+        running: The number of running requests.
+        kv_used_part: The fraction of the KV cache that is in use.
+        slowness: The factor by which the runner is slower than its kind, if above 1.
+        stalled: By call, the address of the runner that the call is waiting for.
+        started_ms: When the runner started, by its own wall clock; 0 if not reported.
     """
 
     sequence: int
@@ -407,43 +410,43 @@
 
 
 class RunnerClient(Protocol):
-    """Calls backend servers.
+    """Sends calls and orders to backend servers.
 
-    Each of its methods asks the gate right before it writes anything, and tells it
-    of each answer's head.
+    Each method consults the flow control right before it writes anything and passes it
+    the signals of each response.
 
     Attributes:
-        gate: Whoever uses the client sets it.
+        gate: The flow control to consult; set by the client's user.
     """
 
     gate: FlowControl
 
     async def send(self, send: Send) -> Answer:
-        """Send a call; return its answer once the head is there.
+        """Send a call; return the response once its headers are received.
 
         Raises:
             KeptBackError: Nothing was written.
             NotSentError: Nothing has run.
-            AnswerLostError: It may have run.
+            AnswerLostError: The call may have run.
         """
 
     async def is_refusing(self, server: BackendServer) -> bool:
-        """Tell whether a server refuses connections: nobody listens there."""
+        """Return whether a server refuses connections because its port is not open."""
 
     async def reach(self, server: BackendServer, *, health_path: str) -> ReachOutcome:
-        """Ask a server over a new connection; any answer will do.
+        """Probe a server over a new connection; any response counts.
 
         Args:
-            server: Whom to ask.
-            health_path: Where a plain service's servers are asked; where it is empty,
-                a connection is enough.
+            server: The server to probe.
+            health_path: The health endpoint of a plain service's servers; if it is
+                empty, an established connection suffices.
         """
 
     async def report(self, server: BackendServer) -> RunnerReport | None:
-        """Return a runner's report, or None if none came in time.
+        """Return a runner's report, or None on a timeout.
 
         Raises:
-            KeptBackError: It was not asked.
+            KeptBackError: No request was sent.
         """
 
     async def repath(
@@ -459,54 +462,54 @@
         fence: int,
         expected_sequence: int,
     ) -> OrderAnswer:
-        """Order a runner to hold a range of layers."""
+        """Order a runner to load a range of layers."""
 
 
 class Responder(Protocol):
-    """Answers a caller."""
+    """Writes the response to a caller."""
 
     async def answer(
         self, status: int, headers: Headers, body: bytes, *, is_framed: bool = True
     ) -> None:
-        """Give an answer; one that isn't framed ends with its connection."""
+        """Write a response; one that isn't framed ends with the connection."""
 
     async def start(
         self, status: int, headers: Headers, *, is_framed: bool = True
     ) -> None:
-        """Begin an answer that comes in parts."""
+        """Start a response whose body is streamed."""
 
     async def write(self, data: bytes) -> None:
-        """Give a part of the answer."""
+        """Write a chunk of the body."""
 
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """Complete the response."""
 
     def abort(self) -> None:
-        """Break the answer off, so that it can't be taken for whole."""
+        """Abort the response, so that it can't be mistaken for a complete one."""
 
 
 class HistoryGoneError(Exception):
-    """The changes asked for can't be had any more; read the table again.
+    """The requested changes are no longer available; read the full table again.
 
-    The store has forgotten them, or was restored from a copy since.
+    The store has compacted them, or has been restored from a backup since.
     """
 
 
 class TableView(NamedTuple):
-    """A table, or its changes, as the store answered.
+    """A table, or changes to it, as returned by the store.
 
     Attributes:
-        values: By key, the values; None for a row that is gone.
-        version: From where changes go on.
-        store_s: The store's steady clock when it answered, in seconds.
-        is_whole: Whether these are all rows although changes were asked for.
-        is_relayed: Whether another instance has passed it on, so that the
-            store's time may be from before the question.
-        returned_s: Where it was relayed, since when the store answers again.
+        values: The values by key; None for a deleted row.
+        version: The version from which to request further changes.
+        store_s: The store's monotonic clock at the response, in seconds.
+        is_whole: Whether these are all rows although changes were requested.
+        is_relayed: Whether another instance relayed the response, so that the store's
+            time may precede the request.
+        returned_s: If relayed, since when the store has been available again.
         era: The store's era that the version and the time belong to.
-        source: The instance that passed it on; `store` for the store itself.
-        is_restored: Whether these are all rows of a store that went back in its
-            history: rows may be missing or old until they are written again.
+        source: The instance that relayed the response; `store` for the store itself.
+        is_restored: Whether these are all rows of a store that was restored to an older
+            state: rows may be missing or outdated until they are written again.
     """
 
     values: Mapping[str, bytes | None]
@@ -521,7 +524,7 @@
 
     @property
     def position(self) -> Position:
-        """The place in the store's history from where changes go on."""
+        """The position in the store's history from which to request further changes."""
         return Position(self.era, self.version)
 
     @property
@@ -534,10 +537,10 @@
     """Reads the store's tables."""
 
     async def read_table(self, table: str) -> TableView:
-        """Return a whole table.
+        """Return a full table.
 
         Raises:
-            TableUnavailableError: The store refuses or is silent.
+            TableUnavailableError: The store refused the request or did not respond.
         """
 
     async def read_changes(
@@ -553,19 +556,19 @@
 
         Args:
             table: The table's name.
-            after: The version that is known.
-            wait_s: How long the answer may wait for a change, in seconds.
+            after: The last known version.
+            wait_s: For how long to wait for a change, in seconds.
             era: The store's era that *after* belongs to.
-            is_direct: Whether to ask the store itself before any instance.
+            is_direct: Whether to query the store itself before any instance.
 
         Raises:
-            HistoryGoneError: Changes since *after* can't be had any more.
-            TableUnavailableError: The store refuses or is silent.
+            HistoryGoneError: Changes since *after* are no longer available.
+            TableUnavailableError: The store refused the request or did not respond.
         """
 
 
 class TableStore(TableSource, Protocol):
-    """Reads the tables at the store itself."""
+    """Reads the tables from the store itself."""
 
     async def read_changes(
         self,
@@ -581,38 +584,38 @@
 
         Args:
             table: The table's name.
-            after: The version that is known.
-            wait_s: How long the answer may wait for a change, in seconds.
-            answer_s: How much later than that it may begin, in seconds; the usual
-                limit of a call if omitted.
+            after: The last known version.
+            wait_s: For how long to wait for a change, in seconds.
+            answer_s: How much later than that the response may start, in seconds; the
+                default timeout of a call if omitted.
             era: The store's era that *after* belongs to.
-            is_direct: Changes nothing here.
+            is_direct: Ignored.
 
         Raises:
-            HistoryGoneError: Changes since *after* can't be had any more.
-            TableUnavailableError: The store refuses or is silent.
+            HistoryGoneError: Changes since *after* are no longer available.
+            TableUnavailableError: The store refused the request or did not respond.
         """
 
 
 class Decoder(Protocol):
-    """Reads the store's rows into the project's types."""
+    """Decodes the store's rows."""
 
     def desired_steps(
         self, value: bytes, *, above: int | None
     ) -> Steps[DesiredState | None]:
-        """Read a desired state in short steps; None if its version is not newer.
+        """Decode a desired state in short steps, or None if its version is not newer.
 
         Args:
             value: The row.
-            above: The version in force; any version is newer if omitted.
+            above: The active version; any version counts as newer if omitted.
 
         Raises:
-            ValueError: It can't be understood.
+            ValueError: The row is invalid.
         """
 
     def backend_server(self, server_id: str, value: bytes) -> BackendServer:
-        """Read a listed server.
+        """Decode a listed server.
 
         Raises:
-            ValueError: It can't be understood.
+            ValueError: The row is invalid.
         """
--- a/tests/signaling_servers.py
+++ b/tests/signaling_servers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Servers that say something of themselves, in front of them real clients."""
+"""Backend servers with flow-control headers, and router instances with real clients."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 ID = "Violethatch-Attempt-Id"
-#: How long servers take for what they run, in seconds.
+#: For how long servers process a request, in seconds.
 WORK_S = 0.01
-#: The bound on work for a server that is leaving, in seconds.
+#: The limit for work on a server that is shutting down, in seconds.
 LEAVING_S = 0.3
-#: Sends that wait for a connection are waited for.
+#: Timeouts that are long enough for sends that wait for a connection.
 LONG_LIMITS = {
     "first_event_limit_s": "1.0",
     "gap_limit_s": "1.0",
@@ -44,47 +44,50 @@
 PLAIN = plain_route(max_attempts=3)
 
 
-#: From when on nothing is to come within a rest, in seconds: what was on its way when
-#: the word came has arrived by then, and what servers allow ends there.
+#: How long after a back-off was requested further requests may arrive, in seconds:
+#: requests in flight have arrived by then, and servers tolerate none after that.
 IN_FLIGHT_S = 0.5
-#: Below this, in seconds, a wake-up is not late: timers of a busy machine.
+#: Shorter delays of the event loop, in seconds, are attributed to the timers of a busy
+#: machine.
 MIN_STALL_S = 0.01
 
 
 class LoopLag:
-    """How late the loop is, at the most: servers and instances of a test share it."""
+    """Delays of the event loop, which the servers and instances of a test share."""
 
     def __init__(self):
         self.most_s = 0.0
-        #: From when until when it stood still.
-        self._holds = []
+        #: The start and end times of delays.
+        self._stalls = []
 
     def stalled_s(self, from_s, until_s):
-        """Return for how long it stood still between two times: holds add up."""
-        parts = [min(end, until_s) - max(begin, from_s) for begin, end in self._holds]
+        """Return the total delay between two times."""
+        parts = [min(end, until_s) - max(begin, from_s) for begin, end in self._stalls]
         return sum(part for part in parts if part > 0.0)
 
     def stalls(self, *, least_s, within_s):
-        """Return from when until when it stood still for so long in all within a time.
+        """Return the start and end times of delays with a minimum total within a time.
 
-        Short holds in a row delay what takes several turns of the loop.
+        Several short delays in a row affect tasks that need several loop iterations.
         """
-        found = []
-        for index, (_, until_s) in enumerate(self._holds):
-            row = [
-                one for one in self._holds[: index + 1] if one[1] > until_s - within_s
+        stalls = []
+        for index, (_, until_s) in enumerate(self._stalls):
+            recent = [
+                stall
+                for stall in self._stalls[: index + 1]
+                if stall[1] > until_s - within_s
             ]
-            if sum(end - begin for begin, end in row) >= least_s:
-                found.append((row[0][0], until_s))
-        return found
+            if sum(end - begin for begin, end in recent) >= least_s:
+                stalls.append((recent[0][0], until_s))
+        return stalls
 
     def last_stall_end_s(self, *, least_s):
-        """Return when the last hold of at least *least_s* ended; -inf without one."""
-        ends = [end for begin, end in self._holds if end - begin >= least_s]
+        """Return when the last delay of at least *least_s* ended; -inf without one."""
+        ends = [end for begin, end in self._stalls if end - begin >= least_s]
         return max(ends, default=-math.inf)
 
     async def watch(self):
-        """Look again and again, until cancelled."""
+        """Measure delays until cancelled."""
         while True:
             before_s = clocks.now_s()
             await asyncio.sleep(0.01)
@@ -92,22 +95,24 @@
             late_s = now_s - before_s - 0.01
             self.most_s = max(self.most_s, late_s)
             if late_s >= MIN_STALL_S:
-                self._holds.append((now_s - late_s, now_s))
+                self._stalls.append((now_s - late_s, now_s))
 
 
 @contextlib.asynccontextmanager
 async def measure_loop_lag():
-    """Provide how late the loop was meanwhile."""
+    """Measure the delays of the event loop in the background."""
     lag = LoopLag()
-    watching = asyncio.create_task(lag.watch())
+    measurement = asyncio.create_task(lag.watch())
     try:
         yield lag
     finally:
-        watching.cancel()
+        measurement.cancel()
 
 
 class SignalingServer:
-    """A stand-in of a server, from the users' pages; it notes what reaches it.
+    """A fake server with the headers of the platform's specification.
+
+    It records all requests.
 
     Args:
         listed: Its entry, without its address.
@@ -115,42 +120,42 @@
 
     def __init__(self, listed):
         self.listed = listed
-        #: How requests are turned away: the figure of the rest, or None to run them.
+        #: The ``Retry-After`` header of rejections; None to accept requests.
         self.retry_after = None
         self.is_leaving = False
-        #: How many requests a second it takes from all, as its answers name it.
+        #: The ``Server-Limit`` header of responses.
         self.limit_a_s = None
-        #: How long what it runs takes, in seconds.
+        #: Returns the processing time of a request, in seconds.
         self.work_s = lambda: WORK_S
         self.arrived = []
-        self._peers = set()
-        #: When it first answered with its word.
+        self._remote_addresses = set()
+        #: When a flow-control header was first sent.
         self.first_signal_s = None
-        #: What it has said to which machine, when and in which start of it.
+        #: The back-off requests, with the instance, the time and the server's start.
         self.words = []
         self.ran = []
         self.departures = []
         self.arrivals_by_start = []
-        self._serving = None
+        self._app_runner = None
 
     async def start(self):
-        """Listen on a port of its own."""
+        """Listen on a free port."""
         app = web.Application()
         app.router.add_get("/api/report", self._report)
         app.router.add_post("/api/order", self._order)
         app.router.add_route("*", "/{path:.*}", self._serve)
-        self._serving = web.AppRunner(app, handler_cancellation=True)
-        await self._serving.setup()
-        await web.TCPSite(self._serving, "127.0.0.1", 0).start()
-        address = f"127.0.0.1:{self._serving.addresses[0][1]}"
+        self._app_runner = web.AppRunner(app, handler_cancellation=True)
+        await self._app_runner.setup()
+        await web.TCPSite(self._app_runner, "127.0.0.1", 0).start()
+        address = f"127.0.0.1:{self._app_runner.addresses[0][1]}"
         self.listed = self.listed._replace(address=address)
 
     async def stop(self):
-        """Listen no more."""
-        await self._serving.cleanup()
+        """Stop listening."""
+        await self._app_runner.cleanup()
 
     def start_again(self, started_ms):
-        """Be another start under the same id, which has said nothing yet."""
+        """Simulate a restart under the same id, without any signals."""
         self.listed = self.listed._replace(started_ms=started_ms)
         self.retry_after = None
         self.is_leaving = False
@@ -158,81 +163,93 @@
 
     @property
     def connections(self):
-        """How many connections have brought requests."""
-        return len(self._peers)
+        """The number of connections with requests."""
+        return len(self._remote_addresses)
 
     def arrivals(self, *, after_s, until_s, machine=""):
-        """Return what reached it within a time, counted from its first word."""
+        """Return the requests that arrived in a time range after the first signal."""
         return [
-            what
-            for what, at_s in self._arrived(after_s=after_s, until_s=until_s)
-            if what.startswith(machine)
+            request
+            for request, at_s in self._requests_between(
+                after_s=after_s, until_s=until_s
+            )
+            if request.startswith(machine)
         ]
 
     def arrival_times(self, *, after_s, until_s):
-        """Return when something reached it, likewise."""
-        return [at_s for _, at_s in self._arrived(after_s=after_s, until_s=until_s)]
+        """Return the times of requests that arrived in such a range."""
+        return [
+            at_s for _, at_s in self._requests_between(after_s=after_s, until_s=until_s)
+        ]
 
-    def _arrived(self, *, after_s, until_s):
-        first_s, last_s = self.first_signal_s + after_s, self.first_signal_s + until_s
-        return [one for one in self.arrived if first_s <= one[1] < last_s]
+    def _requests_between(self, *, after_s, until_s):
+        first_s, last_s = (
+            self.first_signal_s + after_s,
+            self.first_signal_s + until_s,
+        )
+        return [arrival for arrival in self.arrived if first_s <= arrival[1] < last_s]
 
-    def _heads(self, request):
-        """Return the headers of an answer to a request that has just come."""
-        heads = {ID: request.headers.get(ID, "")}
+    def _response_headers(self, request):
+        """Return the headers of the response to a request that has just arrived."""
+        headers = {ID: request.headers.get(ID, "")}
         if self.limit_a_s is not None:
-            heads["Server-Limit"] = self.limit_a_s
+            headers["Server-Limit"] = self.limit_a_s
         if self.is_leaving:
-            heads["Server-Leaving"] = "1"
-        return heads
+            headers["Server-Leaving"] = "1"
+        return headers
 
-    def _answer(self, heads, started_ms, **answer):
-        """Answer now, and note what is said by it: nobody can know it sooner."""
+    def _respond(self, headers, started_ms, **response):
+        """Respond, and record the signals in the response as effective from now."""
         now_s = clocks.now_s()
-        if heads.keys() & {"Server-Limit", "Server-Leaving", "Retry-After"}:
+        if headers.keys() & {"Server-Limit", "Server-Leaving", "Retry-After"}:
             self.first_signal_s = self.first_signal_s or now_s
-        machine = heads[ID].partition("-")[0]
-        if "Server-Leaving" in heads:
-            self.departures.append((machine, now_s, started_ms))
-        if "Retry-After" in heads:
-            self.words.append((machine, now_s, heads["Retry-After"], started_ms))
-        return web.Response(headers=heads, **answer)
+        instance = headers[ID].partition("-")[0]
+        if "Server-Leaving" in headers:
+            self.departures.append((instance, now_s, started_ms))
+        if "Retry-After" in headers:
+            self.words.append((instance, now_s, headers["Retry-After"], started_ms))
+        return web.Response(headers=headers, **response)
 
     async def _report(self, request):
         self.arrived.append(("report", clocks.now_s()))
         body = {"Sequence": 0, "Busy": False, "layers": None, "stalled": []}
-        heads = self._heads(request)
-        return self._answer(heads, self.listed.started_ms, body=json.dumps(body))
+        headers = self._response_headers(request)
+        return self._respond(headers, self.listed.started_ms, body=json.dumps(body))
 
     async def _order(self, request):
         order = await request.json()
         self.arrived.append((order["op"], clocks.now_s()))
-        return self._answer(self._heads(request), self.listed.started_ms, body=b"{}")
+        return self._respond(
+            self._response_headers(request), self.listed.started_ms, body=b"{}"
+        )
 
     async def _serve(self, request):
-        self._peers.add(request.transport.get_extra_info("peername"))
+        self._remote_addresses.add(request.transport.get_extra_info("peername"))
         call_id = request.headers.get(ID, "")
         started_ms = self.listed.started_ms
         self.arrived.append((call_id, clocks.now_s()))
         self.arrivals_by_start.append((*self.arrived[-1], started_ms))
-        heads = self._heads(request)
+        headers = self._response_headers(request)
         if self.retry_after is not None:
-            heads |= {"Violethatch-Not-Executed": "1", "Retry-After": self.retry_after}
-            return self._answer(heads, started_ms, status=503)
+            headers |= {
+                "Violethatch-Not-Executed": "1",
+                "Retry-After": self.retry_after,
+            }
+            return self._respond(headers, started_ms, status=503)
         self.ran.append(call_id)
         await asyncio.sleep(self.work_s())
         is_plain = request.path.startswith("/label/")
         body = b"done" if is_plain else b"id: 1\ndata: 1\n\n"
-        return self._answer(heads, started_ms, body=body)
+        return self._respond(headers, started_ms, body=body)
 
 
 class RouterInstance:
-    """One instance, with connections of its own.
+    """A router instance with its own connections.
 
     Args:
-        name: Stands before the ids of its requests.
-        servers: What it sends to.
-        seed: Of all its random choices.
+        name: The prefix of the ids of its requests.
+        servers: The listed servers.
+        seed: The seed of all random choices.
     """
 
     def __init__(self, name, servers, *, seed=1):
@@ -240,27 +257,29 @@
         self.kept = make_session(is_kept=True)
         self.fresh = make_session(is_kept=False)
         self.client = Runners(self.kept, self.fresh)
-        made = settings(retry_reserve=200, **LONG_LIMITS)
-        bounds = made.bounds._replace(leaving_ms=int(1000 * LEAVING_S))
+        router_settings = settings(retry_reserve=200, **LONG_LIMITS)
+        bounds = router_settings.bounds._replace(leaving_ms=int(1000 * LEAVING_S))
         self.router = Router(
-            made._replace(bounds=bounds),
+            router_settings._replace(bounds=bounds),
             client=self.client,
-            decoder=_Listed(),
+            decoder=_PassthroughDecoder(),
             rng=random.Random(seed),
         )
         self.router.desired = desired_state(STREAMS, PLAIN)
-        self.list({one.listed.id: one.listed for one in servers}, is_whole=True)
-        self.asked = 0
+        self.list(
+            {server.listed.id: server.listed for server in servers}, is_whole=True
+        )
+        self.request_count = 0
 
     def list(self, values, *, is_whole=False):
-        """Tell the instance of the list, or of its changes."""
+        """Apply a full list of servers, or changes to it."""
         self.router.take_servers(TableView(values, 1, 0.0), is_whole)
 
     async def ask(self, *, path="/draft/1", **changes):
-        """Send a request; return its answer or the error, and how long it took."""
-        self.asked += 1
+        """Send a request; return its response or error."""
+        self.request_count += 1
         self.router.freshness.proven(clocks.now_s())
-        call_id = f"{self.name}-{self.asked}"
+        call_id = f"{self.name}-{self.request_count}"
         call = make_call(path=path, id=call_id, headers=((ID, call_id),), **changes)
         responder = FakeResponder()
         try:
@@ -271,7 +290,7 @@
         return responder
 
     async def send_repeatedly(self, *, every_s, for_s, path="/draft/1"):
-        """Send requests one after another; return what came of them."""
+        """Send requests at a fixed interval; return their responses and errors."""
         end_s = clocks.now_s() + for_s
         tasks = []
         while clocks.now_s() < end_s:
@@ -285,8 +304,8 @@
         await self.fresh.close()
 
 
-class _Listed:
-    """Lists servers as they are."""
+class _PassthroughDecoder:
+    """Decodes entries that are already decoded."""
 
     def backend_server(self, _server_id, value):
         return value
@@ -296,56 +315,58 @@
         return value if above is None or value.version > above else None
 
 
-def join_instances(machines, *, seed=1):
-    """Let instances tell each other by datagrams; return what carries these."""
+def join_instances(instances, *, seed=1):
+    """Connect instances by datagrams; return the network."""
     rng = random.Random(seed)
     network = Network(rng)
-    entries = instance_entries(len(machines))
-    for machine, own in zip(machines, entries.values(), strict=True):
-        machine.datagrams = network.join(own, entries)
-        PeerLinks(machine.datagrams, machine.router, rng=rng).open()
+    entries = instance_entries(len(instances))
+    for instance, own in zip(instances, entries.values(), strict=True):
+        instance.datagrams = network.join(own, entries)
+        PeerLinks(instance.datagrams, instance.router, rng=rng).open()
     return network
 
 
 def max_within(times_s, span_s):
-    """Return the most of some times that lie within any span so long, in seconds."""
+    """Return the maximum number of times within any interval of a given length."""
     times_s = sorted(times_s)
     first = 0
-    most = 0
+    max_count = 0
     for last, at_s in enumerate(times_s):
         while at_s - times_s[first] > span_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_count = max(max_count, last - first + 1)
+    return max_count
 
 
 def slow_connects(session, wait_s):
-    """Let a session's connections take longer, by a function of the address."""
+    """Delay the connections of a session, by a function of the address."""
     connector = session.connector
     connect = connector.connect
 
-    async def late(req, **options):
+    async def delayed_connect(req, **options):
         await asyncio.sleep(wait_s(f"{req.host}:{req.port}"))
         return await connect(req, **options)
 
-    connector.connect = late
+    connector.connect = delayed_connect
 
 
 @contextlib.asynccontextmanager
 async def servers_and_instances(listed, *, machines=1, seed=1):
-    """Provide servers that listen, and instances that know them."""
-    servers = [SignalingServer(one) for one in listed]
-    await asyncio.gather(*(one.start() for one in servers))
-    made = [RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(machines)]
+    """Provide running servers, and instances that list them."""
+    servers = [SignalingServer(entry) for entry in listed]
+    await asyncio.gather(*(server.start() for server in servers))
+    instances = [
+        RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(machines)
+    ]
     try:
-        yield servers, made
+        yield servers, instances
     finally:
-        await asyncio.gather(*(one.stop() for one in made))
-        await asyncio.gather(*(one.stop() for one in servers))
+        await asyncio.gather(*(instance.stop() for instance in instances))
+        await asyncio.gather(*(server.stop() for server in servers))
 
 
 def preferred_servers(path):
-    """Return entries of three servers, of which the first is preferred for a path."""
+    """Return the entries of three servers; paths prefer the first one."""
     if path.startswith("/label/"):
         return [plain_server("s1"), plain_server("s2", availability_zone="z2")]
     return [
--- a/tests/test_pace_link.py
+++ b/tests/test_pace_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Slow runners' words, passed on."""
+"""Exchange of slow runners' reports."""
 
 from __future__ import annotations
 
@@ -10,50 +10,52 @@
 from violethatch.slow_runners import SlowRunners
 
 
-class Wire:
-    """Notes what is sent."""
+class FakeDatagrams:
+    """Records the messages that are sent."""
 
     def __init__(self, *ids):
         self.directory = InstanceDirectory(entry("i0"))
-        self.directory.take({one: entry(one) for one in ids}, is_whole=True)
+        self.directory.take(
+            {instance_id: entry(instance_id) for instance_id in ids}, is_whole=True
+        )
         self.sent = []
-        self.take = None
+        self.receive = None
 
-    def on(self, _kind, take):
-        self.take = take
+    def on(self, _kind, receive):
+        self.receive = receive
 
     def send(self, peer, message):
         self.sent.append((peer.id, message.server_id, message.slowness))
 
 
 class TestPaceLink:
-    def test_word_goes_to_all(self):
-        """Each other instance is told once."""
-        wire = Wire("i0", "i1", "i2")
-        PaceLink(wire, SlowRunners()).broadcast("a", 12.0)
-        assert wire.sent == [("i1", "a", 12.0), ("i2", "a", 12.0)]
+    def test_report_is_sent_to_all(self):
+        """Each other instance is sent one message."""
+        datagrams = FakeDatagrams("i0", "i1", "i2")
+        PaceLink(datagrams, SlowRunners()).broadcast("a", 12.0)
+        assert datagrams.sent == [("i1", "a", 12.0), ("i2", "a", 12.0)]
 
-    def test_word_is_taken(self):
+    def test_report_is_recorded(self):
         """A runner that is slow for one instance is slow for all."""
-        paces = SlowRunners()
-        wire = Wire()
-        PaceLink(wire, paces)
-        wire.take(PaceDatagram("t", "i1", "a", 12.0))
-        assert paces.slow(now_s=0.0) == {"a": 12.0}
+        slow_runners = SlowRunners()
+        datagrams = FakeDatagrams()
+        PaceLink(datagrams, slow_runners)
+        datagrams.receive(PaceDatagram("t", "i1", "a", 12.0))
+        assert slow_runners.slow(now_s=0.0) == {"a": 12.0}
 
     def test_bounded_rate(self):
-        """However many runners are slow, the links are not filled."""
-        wire = Wire("i1")
-        link = PaceLink(wire, SlowRunners())
+        """The links are not saturated, regardless of the number of slow runners."""
+        datagrams = FakeDatagrams("i1")
+        link = PaceLink(datagrams, SlowRunners())
         for n in range(100):
             link.broadcast(f"s{n}", 12.0)
-        assert len(wire.sent) <= 10
+        assert len(datagrams.sent) <= 10
 
-    def test_real_datagrams_carry_it(self):
-        """Nothing is lost on the way through the socket's protocol."""
-        paces = SlowRunners()
+    def test_report_in_datagram(self):
+        """A message survives encoding and decoding."""
+        slow_runners = SlowRunners()
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
-        PaceLink(datagrams, paces)
+        PaceLink(datagrams, slow_runners)
         sent = []
         sender = PeerDatagrams(InstanceDirectory(entry("i1")))
         sender.connection_made(
@@ -61,4 +63,4 @@
         )
         sender.send(entry("9")._replace(token="t"), PaceDatagram("t", "i1", "a", 12.0))
         datagrams.datagram_received(sent[0], None)
-        assert "a" in paces.slow(now_s=0.0)
+        assert "a" in slow_runners.slow(now_s=0.0)
--- a/tests/test_pipe_share.py
+++ b/tests/test_pipe_share.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which requests may cross the pipe between zones."""
+"""Admission of requests to the pipe between zones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Pipe:
-    """A pipe that requests of many instances pass in turn."""
+    """A pipe that requests of many instances cross one after another."""
 
     def __init__(self, *, instances, crossing_ms, seed):
         self.rng = random.Random(seed)
@@ -21,27 +21,27 @@
         self.crossing_s = crossing_ms / 1000
         self.free_s = 0.0
         self.waits_s = []
-        self.denied = 0
+        self.rejected = 0
 
     def attempt(self, share):
-        """Let a request cross, if it may."""
+        """Let a request cross, if it is admitted."""
         cost_ms = self.crossing_s * 1000 * len(self.shares)
         if not share.may_cross(cost_ms, now_s=self.env.now):
-            self.denied += 1
+            self.rejected += 1
             return
-        begins_s = max(self.env.now, self.free_s)
-        self.waits_s.append(begins_s - self.env.now)
-        self.free_s = begins_s + self.crossing_s
+        start_s = max(self.env.now, self.free_s)
+        self.waits_s.append(start_s - self.env.now)
+        self.free_s = start_s + self.crossing_s
 
     def burst(self, at_s, each):
-        """Each instance has so many requests at the same moment."""
+        """Start the given number of requests on each instance at the same time."""
         yield self.env.timeout(at_s)
         for share in self.shares:
             for _ in range(each):
                 self.attempt(share)
 
     def steady(self, per_s):
-        """Requests come to all instances, so many a second in all."""
+        """Start requests on random instances at the given total rate."""
         while True:
             yield self.env.timeout(self.rng.expovariate(per_s))
             self.attempt(self.rng.choice(self.shares))
@@ -49,8 +49,8 @@
 
 class TestPipeShare:
     @pytest.mark.parametrize("seed", range(10))
-    def test_all_at_once_don_t_make_a_long_queue(self, seed):
-        """A lost runner sends the streams of all instances across together."""
+    def test_burst_queue_is_short(self, seed):
+        """The loss of a runner makes the streams of all instances cross together."""
         pipe = Pipe(instances=19, crossing_ms=130, seed=seed)
         pipe.env.process(pipe.burst(1.0, 3))
         pipe.env.run(until=5.0)
@@ -58,8 +58,8 @@
         assert max(pipe.waits_s) < 1.2
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_overload_keeps_the_pipe_busy_and_short(self, seed):
-        """Far more than the pipe carries: a good part of it is used, in time."""
+    def test_overload_utilizes_pipe(self, seed):
+        """Under overload, the pipe is well utilized and its queue stays short."""
         pipe = Pipe(instances=19, crossing_ms=130, seed=seed)
         pipe.env.process(pipe.steady(25.0))
         pipe.env.run(until=60.0)
@@ -69,9 +69,9 @@
         assert waits[int(0.95 * len(waits))] < 1.0
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_little_traffic_crosses_freely(self, seed):
-        """Nearly nothing is held back while the pipe is mostly free."""
+    def test_low_traffic_is_rarely_rejected(self, seed):
+        """Few requests are rejected while the pipe is mostly idle."""
         pipe = Pipe(instances=8, crossing_ms=22, seed=seed)
         pipe.env.process(pipe.steady(4.0))
         pipe.env.run(until=60.0)
-        assert pipe.denied < 0.15 * (len(pipe.waits_s) + pipe.denied)
+        assert pipe.rejected < 0.15 * (len(pipe.waits_s) + pipe.rejected)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Probes of runners that requests wait for."""
+"""Probes of runners with stalled requests."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CountingClient:
-    """Counts who is asked; some runners are silent."""
+    """Counts the probes by runner; some runners do not respond."""
 
     def __init__(self, *silent):
         self.silent = silent
-        self.asked = []
+        self.probed = []
 
     async def report(self, server):
-        self.asked.append(server.id)
+        self.probed.append(server.id)
         await asyncio.sleep(0.01)
         return None if server.id in self.silent else report()
 
@@ -29,63 +29,63 @@
 
 
 async def silent(probes, *servers):
-    """Return the servers that are found silent."""
+    """Return the servers found to be silent."""
     return (await probes.probe(servers, timeout_s=5.0)).silent
 
 
 class TestProbes:
-    async def test_silent_ones_are_named(self):
-        """Those that answer are well."""
+    async def test_silent_runners_are_returned(self):
+        """Runners that respond are not silent."""
         assert await silent(Probes(CountingClient("b")), A, B) == (B,)
 
-    async def test_reports_are_given(self):
-        """What a runner told is there for who asked."""
-        found = await Probes(CountingClient("b")).probe([A, B], timeout_s=5.0)
-        assert found.reports.keys() == {"a"}
+    async def test_reports_are_returned(self):
+        """The results include the reports."""
+        results = await Probes(CountingClient("b")).probe([A, B], timeout_s=5.0)
+        assert results.reports.keys() == {"a"}
 
-    async def test_slow_ones_are_pending(self):
-        """Who waits no longer learns who has not answered yet."""
+    async def test_runners_without_response_are_pending(self):
+        """On a timeout, the result lists the runners that have not responded yet."""
 
         class HangingClient:
             async def report(self, server):
                 await asyncio.Event().wait()
 
-        found = await Probes(HangingClient()).probe([A], timeout_s=0.001)
-        assert (found.silent, found.pending) == ((), (A,))
+        results = await Probes(HangingClient()).probe([A], timeout_s=0.001)
+        assert (results.silent, results.pending) == ((), (A,))
 
-    async def test_silence_is_told_of_when_it_is_known(self):
-        """Also if nobody waits for the probe any more."""
-        told = []
-        probes = Probes(CountingClient("a"), on_silent=told.append)
+    async def test_callback_after_timeout(self):
+        """The callback is called even if no request awaits the probe any more."""
+        reported = []
+        probes = Probes(CountingClient("a"), on_silent=reported.append)
         await probes.probe([A, B], timeout_s=0.001)
         await asyncio.sleep(0.05)
-        assert told == [A]
+        assert reported == [A]
 
-    async def test_who_wants_nothing_is_not_silent(self):
-        """It is not asked, nobody is told of a silence, and one look counts a while."""
-        looks, told = [], []
+    async def test_runner_in_backoff_is_not_silent(self):
+        """A runner in back-off is neither probed nor silent; the result is reused."""
+        probed, reported = [], []
 
-        class RestingClient:
+        class BackoffClient:
             async def report(self, server):
-                looks.append(server.id)
+                probed.append(server.id)
                 raise KeptBackError("rest", 3.0)
 
-        probes = Probes(RestingClient(), on_silent=told.append)
+        probes = Probes(BackoffClient(), on_silent=reported.append)
         for _ in range(5):
-            found = await probes.probe([A], timeout_s=5.0)
-            assert (found.silent, found.pending, found.skipped) == ((), (), (A,))
-        assert (looks, told) == (["a"], [])
+            results = await probes.probe([A], timeout_s=5.0)
+            assert (results.silent, results.pending, results.skipped) == ((), (), (A,))
+        assert (probed, reported) == (["a"], [])
 
     async def test_requests_share_a_probe(self):
-        """However many requests wait, a runner is asked once."""
+        """A runner is probed once for any number of concurrent requests."""
         client = CountingClient()
         probes = Probes(client)
         await asyncio.gather(*(silent(probes, A) for _ in range(20)))
         await silent(probes, A)
-        assert client.asked == ["a"]
+        assert client.probed == ["a"]
 
-    async def test_who_leaves_takes_no_probe_along(self):
-        """The request that began a probe may be cancelled."""
+    async def test_cancelled_request_keeps_probe(self):
+        """The request that started a probe may be cancelled."""
         probes = Probes(CountingClient("a"))
         first = asyncio.create_task(silent(probes, A))
         await asyncio.sleep(0)
@@ -94,11 +94,11 @@
         first.cancel()
         assert await second == (A,)
 
-    async def test_outcome_counts_for_a_moment(self, monkeypatch):
-        """Then the runner is asked anew."""
-        monkeypatch.setattr(_probes, "_PROBE_LIFE_S", 0.0)
+    async def test_result_expires(self, monkeypatch):
+        """An expired result is replaced by a new probe."""
+        monkeypatch.setattr(_probes, "_RESULT_TTL_S", 0.0)
         client = CountingClient()
         probes = Probes(client)
         await silent(probes, A)
         await silent(probes, A)
-        assert client.asked == ["a", "a"]
+        assert client.probed == ["a", "a"]
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -103,7 +103,7 @@
 
     async def test_slow_runner_is_asked_again(self, monkeypatch):
         """Until it says that it is quick."""
-        monkeypatch.setattr(slow_runners, "_ASK_AGAIN_S", 0.0)
+        monkeypatch.setattr(slow_runners, "_PROBE_AFTER_S", 0.0)
         client = FakeClient()
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
--- a/tests/test_runner_health.py
+++ b/tests/test_runner_health.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which servers are left alone, and for how long."""
+"""Cooldowns of servers after faults."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class TestRunnerHealth:
-    def test_rest_ends_by_itself(self):
-        """A server in trouble is left alone and then tried again."""
+    def test_cooldown_expires(self):
+        """A faulty server is avoided, and then tried again."""
         health = RunnerHealth()
         health.record_fault("a", ServerFault.SILENT, now_s=0.0)
         assert health.in_cooldown(now_s=2.9) == {"a"}
         assert not health.is_in_cooldown("a", now_s=3.1)
 
-    def test_work_ends_the_rest(self):
-        """A server that works is used at once."""
+    def test_success_ends_cooldown(self):
+        """A server that succeeds is used immediately."""
         health = RunnerHealth()
         health.record_fault("a", ServerFault.NAMED, now_s=0.0)
         health.record_success("a")
         assert not health.is_in_cooldown("a", now_s=0.1)
 
-    def test_one_trouble_seen_by_many_counts_once(self):
-        """Requests that see the same trouble don't lengthen the rest."""
+    def test_same_fault_counts_once(self):
+        """Requests that observe the same fault don't extend the cooldown."""
         health = RunnerHealth()
         for n in range(20):
             health.record_fault("a", ServerFault.SILENT, now_s=n * 0.01)
         assert not health.is_in_cooldown("a", now_s=3.1)
 
-    def test_trouble_again_doubles_the_rest(self):
-        """Who fails again after a rest rests longer, within a limit."""
+    def test_repeated_fault_doubles_cooldown(self):
+        """A server that fails again gets a longer cooldown, up to a maximum."""
         health = RunnerHealth()
         health.record_fault("a", ServerFault.SILENT, now_s=0.0)
         health.record_fault("a", ServerFault.SILENT, now_s=3.5)
@@ -38,40 +38,40 @@
             health.record_fault("a", ServerFault.SILENT, now_s=n * 20.0)
         assert not health.is_in_cooldown("a", now_s=9 * 20.0 + 12.1)
 
-    def test_full_server_rests_briefly(self):
-        """Room comes back soon, however often it was full."""
+    def test_full_server_has_short_cooldown(self):
+        """The cooldown doesn't grow, since capacity is soon available again."""
         health = RunnerHealth()
         for n in range(5):
             health.record_fault("a", ServerFault.FULL, now_s=n * 0.5)
         assert not health.is_in_cooldown("a", now_s=2.4)
 
-    def test_full_does_not_shorten_a_longer_rest(self):
-        """A silent server stays alone, whatever else was seen."""
+    def test_full_does_not_shorten_cooldown(self):
+        """A silent server stays in cooldown regardless of other faults."""
         health = RunnerHealth()
         health.record_fault("a", ServerFault.SILENT, now_s=0.0)
         health.record_fault("a", ServerFault.FULL, now_s=0.1)
         assert health.is_in_cooldown("a", now_s=2.0)
 
-    def test_silent_server_rests_as_long_as_engines_wait(self):
-        """The site's own bound says how long a silent server is left alone."""
+    def test_silent_server_cooldown_is_stall_limit(self):
+        """The site's stall limit is the cooldown of a silent server."""
         health = RunnerHealth(stall_s=5.0)
         health.record_fault("a", ServerFault.SILENT, now_s=0.0)
         assert health.is_in_cooldown("a", now_s=4.9)
         assert not health.is_in_cooldown("a", now_s=5.1)
 
-    def test_absent_server_rests_longer_each_time(self):
-        """Whose part can't be had again and again is likely to be dead."""
+    def test_absent_server_cooldown_grows(self):
+        """A runner whose layers are repeatedly unavailable is likely to be dead."""
         health = RunnerHealth(stall_s=3.0)
-        rests = [
+        cooldowns = [
             health.record_fault("a", ServerFault.ABSENT, now_s=n * 10.0)
             for n in range(6)
         ]
-        assert rests == [0.3, 0.6, 1.2, 2.4, 3.0, 3.0]
+        assert cooldowns == [0.3, 0.6, 1.2, 2.4, 3.0, 3.0]
         health.record_success("a")
         assert health.record_fault("a", ServerFault.ABSENT, now_s=90.0) == 0.3
 
-    def test_doubt_is_no_certainty(self):
-        """A server that may only be full is not shunned."""
+    def test_transient_fault_does_not_exclude(self):
+        """A server that may only be full is not excluded."""
         health = RunnerHealth()
         health.record_fault("full", ServerFault.FULL, now_s=0.0)
         health.record_fault("absent", ServerFault.ABSENT, now_s=0.0)
@@ -79,8 +79,8 @@
         assert health.in_cooldown(now_s=0.1) == {"full", "absent", "silent"}
         assert health.excluded(now_s=0.1) == {"silent"}
 
-    def test_doubt_doesn_t_lift_a_certainty(self):
-        """While a silent server is shunned, a milder trouble changes nothing."""
+    def test_transient_fault_does_not_end_exclusion(self):
+        """While a silent server is excluded, a transient fault has no effect."""
         health = RunnerHealth(stall_s=3.0)
         for n in range(5):
             health.record_fault("a", ServerFault.ABSENT, now_s=n * 10.0)
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Choosing a plain service's server."""
+"""Load balancing over a plain service's servers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 class TestServerChoice:
-    def test_own_calls_are_spread(self):
-        """Calls in progress go to different servers."""
+    def test_own_calls_are_distributed(self):
+        """Calls in flight are distributed over the servers."""
         choice = ServerChoice(random.Random(1))
         chosen = []
         for _ in range(6):
@@ -28,8 +28,8 @@
             choice.started(chosen[-1])
         assert sorted(chosen) == ["a", "a", "b", "b", "c", "c"]
 
-    def test_word_of_others_counts_while_new(self):
-        """A server that is busy for others is left alone for a while."""
+    def test_reported_load_expires(self):
+        """A server that reported a high load is avoided for a while."""
         choice = ServerChoice(random.Random(1))
         for name in ("a", "b"):
             choice.started(name)
@@ -37,28 +37,28 @@
         assert {choose(choice, now_s=0.1) for _ in range(9)} == {"c"}
         assert {choose(choice, now_s=5.0) for _ in range(50)} == {"a", "b", "c"}
 
-    def test_slots_weigh(self):
-        """The larger server gets more."""
+    def test_load_is_proportional_to_slots(self):
+        """Load is proportional to the number of slots."""
         choice = ServerChoice(random.Random(1))
         servers = [plain_server("big", slots=12), plain_server("small", slots=3)]
         for _ in range(10):
             choice.started(choose(choice, servers=servers))
-        assert choice._own["big"] == 8
+        assert choice._own_calls["big"] == 8
 
-    def test_avoided_only_without_others(self):
-        """An avoided server is used when there is no other."""
+    def test_avoided_server_is_last_resort(self):
+        """An avoided server is used if there is no other."""
         choice = ServerChoice(random.Random(1))
         assert choose(choice, avoided={"a", "b"}) == "c"
         assert choose(choice, avoided={"a", "b", "c"}) in "abc"
         assert choice.choose([], zone="z1", avoided=(), now_s=0.0) is None
 
-    def test_own_zone_is_stayed_in_while_it_has_room(self):
-        """A link between zones is depended on only where that gains something."""
+    def test_local_zone_is_preferred(self):
+        """Links between zones are only used if that reduces the load."""
         choice = ServerChoice(random.Random(1))
-        servers = [SERVERS[0], plain_server("far", availability_zone="z2")]
+        servers = [SERVERS[0], plain_server("remote", availability_zone="z2")]
         for _ in range(2):
             assert choose(choice, servers=servers) == "a"
             choice.started("a")
         choice.started("a")
-        assert choose(choice, servers=servers) == "far"
-        assert choose(choice, servers=servers, avoided={"a"}) == "far"
+        assert choose(choice, servers=servers) == "remote"
+        assert choose(choice, servers=servers, avoided={"a"}) == "remote"
