--- a/src/violethatch/backends.py
+++ b/src/violethatch/backends.py
@@ -74,12 +74,12 @@
         self.revision = 0
         self._servers: dict[str, BackendServer] = {}
         self._starts = ServerStarts()
-        self._expired_until_s: dict[str, float] = {}
+        self._grace_until_s: dict[str, float] = {}
         #: By server id and start, the wall-clock time of the latest request whose
         #: response reported the shutdown; the most recently reported come last.
         self._reported_leaving: dict[tuple[str, int], int] = {}
         self._leaving_since_s: dict[str, float] = {}
-        self._store_returned_s: float | None = None
+        self._store_recovered_s: float | None = None
         self._departures = Departures()
 
     def __len__(self) -> int:
@@ -91,7 +91,7 @@
 
     def store_returned(self, *, now_s: float) -> None:
         """Record that the store has recovered from an outage."""
-        self._store_returned_s = now_s
+        self._store_recovered_s = now_s
 
     def apply_changes(
         self,
@@ -129,7 +129,7 @@
             if server.is_leaving and not (known is not None and known.is_leaving):
                 leaving.append(server.id)
             self._update_leaving_since(server, now_s=now_s)
-            self._expired_until_s.pop(server.id, None)
+            self._grace_until_s.pop(server.id, None)
             self._servers[server.id] = server
         lost = []
         for server_id in removed:
@@ -229,14 +229,14 @@
         if self._servers[server_id].is_leaving:
             return False
         until_s = now_s + REWRITE_GRACE_S
-        self._expired_until_s.setdefault(server_id, until_s)
+        self._grace_until_s.setdefault(server_id, until_s)
         return True
 
     def expire(self, *, now_s: float) -> tuple[str, ...]:
         """Remove expired entries that were not written again; return their ids."""
         expired = tuple(
             server_id
-            for server_id, until_s in self._expired_until_s.items()
+            for server_id, until_s in self._grace_until_s.items()
             if now_s >= until_s
         )
         for server_id in expired:
@@ -281,7 +281,7 @@
         known = self._servers.get(server_id)
         if known is None:
             return False
-        returned_s = self._store_returned_s
+        returned_s = self._store_recovered_s
         is_expiry = (
             returned_s is not None
             and now_s - returned_s < EXPIRY_WINDOW_S
@@ -289,7 +289,7 @@
         )
         if is_expiry:
             until_s = now_s + self.leaving_s * _EXPIRY_FRACTION
-            self._expired_until_s.setdefault(server_id, until_s)
+            self._grace_until_s.setdefault(server_id, until_s)
             return False
         return self._forget(server_id)
 
@@ -317,13 +317,13 @@
 
     def _forget(self, server_id: str) -> bool:
         """Remove a server; return whether it was listed."""
-        self._expired_until_s.pop(server_id, None)
+        self._grace_until_s.pop(server_id, None)
         self._leaving_since_s.pop(server_id, None)
         return self._servers.pop(server_id, None) is not None
 
 
 def _keep_leaving(known: BackendServer | None, entry: BackendServer) -> BackendServer:
-    """Return an entry, marked as leaving if that start of the server was before.
+    """Return an entry, marked as leaving if that start was leaving before.
 
     A server that is shutting down doesn't become ready again: only an outdated read
     lists that start as ready.
