--- a/bench/intake_costs.py
+++ b/bench/intake_costs.py
@@ -229,20 +229,23 @@
     wire = WireDecoder()
     yield "the state, decoded", lambda: wire.desired_state(state)
     made = router()
-    made.take_desired(view, True)
+    made.apply_desired_state(view, True)
     assert made.desired is not None
     desired = made.desired
     admission = made.routing.admission
     yield "admission", lambda: admission.take_desired(desired)
     service = desired.services["model"]
-    yield "the state taken in once more", lambda: made.take_desired(view, True)
+    yield "the state taken in once more", lambda: made.apply_desired_state(view, True)
     views = iter(
         [
             TableView({"config": row(routes, version)}, 2, 0.0)
             for version in range(2, 2 + _REPEATS)
         ]
     )
-    yield "a newer one, a route changed", lambda: made.take_desired(next(views), True)
+    yield (
+        "a newer one, a route changed",
+        lambda: made.apply_desired_state(next(views), True),
+    )
     assert made.routing.path(service) is not None
 
     def path_of_the_new_state() -> None:
@@ -328,7 +331,7 @@
     taken: asyncio.Queue[float] = asyncio.Queue()
 
     async def take(view: TableView, is_whole: bool) -> None:
-        await made.take_desired_in_slices(view, is_whole)
+        await made.apply_desired_state_in_slices(view, is_whole)
         taken.put_nowait(clocks.now_s())
 
     async with aiohttp.ClientSession() as session:
--- a/src/violethatch/_fleet.py
+++ b/src/violethatch/_fleet.py
@@ -18,8 +18,8 @@
 from .ports import ListedInstance
 from .routes import (
     Candidate,
-    LeastInFlightHops,
     MarginalCost,
+    MinInFlightHops,
     RandomHops,
     RoundRobinHops,
     RoutePolicy,
@@ -55,7 +55,7 @@
     if name == "round_robin":
         return RoundRobinHops()
     if name == "least_own":
-        return LeastInFlightHops()
+        return MinInFlightHops()
     return MarginalCost(sees_others=name != "own_only")
 
 
--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -84,7 +84,7 @@
         """Return the slow runners that are to be asked again."""
         routing = self._routing
         ids = routing.paces.due_for_probe(
-            instances=routing.instances(), rng=self._rng, now_s=clocks.now_s()
+            instances=routing.instance_count(), rng=self._rng, now_s=clocks.now_s()
         )
         return self._known(ids)
 
@@ -101,6 +101,6 @@
     def _is_due(self, server_id: str, left_s: float, now_s: float) -> bool:
         """Tell whether a resting runner is to be asked now."""
         asked_s = self._asked_s.setdefault(server_id, now_s)
-        pause_s = _ASK_S * max(1.0, self._routing.instances() / _FEW_INSTANCES)
+        pause_s = _ASK_S * max(1.0, self._routing.instance_count() / _FEW_INSTANCES)
         is_ending = left_s < _BEFORE_END_S and now_s - asked_s > _BEFORE_END_S
         return is_ending or now_s - asked_s >= pause_s
--- a/src/violethatch/_open_answers.py
+++ b/src/violethatch/_open_answers.py
@@ -21,10 +21,10 @@
     def __init__(self) -> None:
         self._ends: set[asyncio.Timeout] = set()
         #: Whether all have been ended.
-        self.is_cut = False
+        self.is_aborted = False
 
     @contextlib.asynccontextmanager
-    async def open(self) -> AsyncIterator[None]:
+    async def track(self) -> AsyncIterator[None]:
         """Count an answer as under way.
 
         Raises:
@@ -44,9 +44,9 @@
             msg = "the instance had to stop before the answer's end"
             raise AnswerCutError(msg) from error
 
-    def cut(self) -> None:
+    def abort_all(self) -> None:
         """End all that are under way."""
-        self.is_cut = True
+        self.is_aborted = True
         now_s = asyncio.get_running_loop().time()
         for end in self._ends:
             end.reschedule(now_s)
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -30,7 +30,7 @@
     ) -> None:
         self._datagrams = datagrams
         self._router = router
-        self._sightings = FaultReportLink(datagrams, router.routing.hearsay)
+        self._sightings = FaultReportLink(datagrams, router.routing.peer_fault_reports)
         self._sightings.started_ms = router.routing.started_ms
         self._paces = PaceLink(datagrams, router.routing.paces)
         self._retries = RetryLink(datagrams, router.routing.retries, rng=rng)
@@ -49,15 +49,15 @@
         """Let the router tell and ask the others from now on."""
         routing = self._router.routing
         directory = self._datagrams.directory
-        routing.tell = self._sightings.broadcast
-        routing.tell_end = self._suspects.tell
-        routing.tell_cleared = self._suspects.tell_cleared
+        routing.broadcast_fault_report = self._sightings.broadcast
+        routing.broadcast_crash = self._suspects.tell
+        routing.broadcast_cleared = self._suspects.tell_cleared
         routing.may_try = self._suspects.may_try
-        self._suspects.keep_hold = lambda trait: routing.keep_hold(trait)
-        routing.tell_pace = self._paces.broadcast
+        self._suspects.keep_hold = lambda trait: routing.store_hold(trait)
+        routing.broadcast_slowness = self._paces.broadcast
         routing.retries.ask_for_retries = self._retries.ask
         routing.flow_control.limits.request_permit = self.limits.request_permit
         routing.flow_control.limits.announce = self.limits.announce
         routing.admission.returns = self._returns
         routing.link_watch.is_active = True
-        routing.know_instances(count=directory.__len__, place=directory.place)
+        routing.set_instance_sources(count=directory.__len__, place=directory.place)
--- a/src/violethatch/_plain_calls.py
+++ b/src/violethatch/_plain_calls.py
@@ -325,7 +325,7 @@
         """Send the call once; return what came of it."""
         routing = self._routing
         server = attempt.server
-        routing.choice.started(server.id)
+        routing.server_choice.started(server.id)
         attempt.timer = running_time.call_later(
             self._route.target_latency_s, functools.partial(self._doubt, attempt)
         )
@@ -340,15 +340,15 @@
         except KeptBackError:
             return _Outcome(may_have_run=False, is_kept_back=True)
         except NotSentError as error:
-            routing.note_trouble(server, ServerFault.SILENT, self._call.id, str(error))
+            routing.record_fault(server, ServerFault.SILENT, self._call.id, str(error))
             return _Outcome(may_have_run=False)
         except AnswerLostError as error:
             trouble = await self._work.trouble_of(error, server, has_begun=False)
-            routing.note_trouble(server, trouble, self._call.id, str(error))
+            routing.record_fault(server, trouble, self._call.id, str(error))
             return _Outcome(may_have_run=True)
         finally:
             attempt.timer.cancel()
-            routing.choice.ended(server.id, load, now_s=clocks.now_s())
+            routing.server_choice.ended(server.id, load, now_s=clocks.now_s())
 
     def _choose(self, now_s: float) -> BackendServer | None:
         """Return the server to send to, or None if none wants the call.
@@ -361,7 +361,7 @@
         closed = self._refused_by | bound.keys()
         servers = self._routing.usable(self._admitted.service.name)
         resting = self._routing.health.in_cooldown(now_s=now_s)
-        return self._routing.choice.choose(
+        return self._routing.server_choice.choose(
             [one for one in servers if one.id not in closed],
             zone=self._routing.settings.instance.availability_zone,
             avoided=self._tried | resting | gate.avoided(now_s=now_s),
@@ -388,7 +388,7 @@
         try:
             if answer.refusal is not None:
                 self._refused_by.add(server_id)
-                self._routing.note_refusal(server_id, answer.refusal, self._call.id)
+                self._routing.record_refusal(server_id, answer.refusal, self._call.id)
                 return None
             body = b"".join([part async for part in answer.parts()])
             is_whole = True
@@ -431,7 +431,7 @@
         server = self._routing.backends.get(attempt.server.id)
         if server is not None and attempt.is_past_target:
             waited_s = clocks.now_s() - attempt.sent_s
-            self._routing.note_trouble(
+            self._routing.record_fault(
                 server,
                 ServerFault.SILENT,
                 self._call.id,
@@ -453,18 +453,18 @@
             self._call.id, self._admitted.service.name
         )
         if routing.link_watch.is_lost(self._admitted.service.name):
-            return LinksLostError(retry_after_s=routing.come_back_s(_NONE_RETRY_S))
+            return LinksLostError(retry_after_s=routing.retry_after_s(_NONE_RETRY_S))
         servers = routing.usable(self._admitted.service.name)
         if not servers:
             msg = "no backend server is listed"
-            retry_after_s = routing.come_back_s()
+            retry_after_s = routing.retry_after_s()
             return ServiceUnreachableError(msg, retry_after_s=retry_after_s)
         asked_s = routing.flow_control.min_wait_s(
             servers, priority=self._admitted.priority
         )
         if asked_s > 0.0:
             msg = "all backend servers want nothing now"
-            retry_after_s = routing.come_back_s(asked_s=asked_s)
+            retry_after_s = routing.retry_after_s(requested_backoff_s=asked_s)
             return OverloadedError(msg, retry_after_s=retry_after_s)
         if self._refused_by:
             msg = "all backend servers are full"
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -59,7 +59,7 @@
 _OK = 200
 _MULTIPLE_CHOICES = 300
 #: When to come back to another instance, in seconds.
-ELSEWHERE_RETRY_S = 0.1
+OTHER_INSTANCE_RETRY_S = 0.1
 #: When to come back to an instance that has just started, in seconds.
 _STARTING_RETRY_S = 0.4
 #: How long the store's being cut off is thought to last on, in seconds.
@@ -134,7 +134,7 @@
         age_s = self.freshness.age_s(now_s=clocks.now_s())
         return age_s < min(self.settings.ready_limit_s, self.freshness.limit_s)
 
-    def has_request_room(self) -> bool:
+    def has_request_capacity(self) -> bool:
         """Tell whether callers that connect next will be served here."""
         return self._request_room.check(
             self.in_flight,
@@ -150,7 +150,7 @@
             mean_of_others=self.routing.loads.mean_of_others(),
         )
 
-    def use_forwarding(
+    def enable_forwarding(
         self,
         client: PeerClient,
         *,
@@ -171,7 +171,7 @@
             peers=peers,
             choice=PeerChoice(instance.availability_zone, rng=rng),
             state_version=lambda: self.desired.version if self.desired else 0,
-            retry_after_s=lambda: self.routing.come_back_s(_NO_LINKS_S),
+            retry_after_s=lambda: self.routing.retry_after_s(_NO_LINKS_S),
         )
         forwarding.on_outcome = self.metrics.forwarded
         self.routing.forwarding = forwarding
@@ -208,10 +208,10 @@
         try:
             if self.desired is None or self.desired.version < state_version:
                 msg = "an older configuration is in force here"
-                raise NotConfiguredError(msg, retry_after_s=ELSEWHERE_RETRY_S)
+                raise NotConfiguredError(msg, retry_after_s=OTHER_INSTANCE_RETRY_S)
             admitted = self._admit(call)
             if await self.routing.link_watch.settled(admitted.service.name):
-                raise LinksLostError(retry_after_s=ELSEWHERE_RETRY_S)
+                raise LinksLostError(retry_after_s=OTHER_INSTANCE_RETRY_S)
             self.in_flight += 1
             try:
                 await self._serve_admitted(
@@ -230,7 +230,9 @@
             )
             raise
 
-    def refused(self, call_id: str, error: VioletHatchError, *, age_s: float) -> None:
+    def record_error(
+        self, call_id: str, error: VioletHatchError, *, age_s: float
+    ) -> None:
         """Log and count a request that ended with one of our own errors."""
         self.metrics.requests.inc({"outcome": str(error.code)})
         if isinstance(error, (UnknownTargetError, UnauthorizedError)):
@@ -275,7 +277,7 @@
             **(forwarded if forwarded_by else {}),
         )
 
-    def failed(self, call_id: str, error: Exception) -> None:
+    def record_unexpected_error(self, call_id: str, error: Exception) -> None:
         """Log and count a request that met an unforeseen error."""
         code = VioletHatchError.code
         self.metrics.requests.inc({"outcome": str(code)})
@@ -287,7 +289,7 @@
             error=repr(error),
         )
 
-    def caller_left(self, call_id: str, *, age_s: float) -> None:
+    def record_disconnect(self, call_id: str, *, age_s: float) -> None:
         """Log and count a caller who went away."""
         self.metrics.requests.inc({"outcome": "caller_left"})
         events.log(events.CALLER_LEFT, request_id=call_id, after_s=round(age_s, 4))
@@ -323,12 +325,14 @@
             **({"forwarded_by": forwarded_by} if forwarded_by else {}),
         )
 
-    def take_desired(self, view: TableView, _is_whole: bool) -> None:
+    def apply_desired_state(self, view: TableView, _is_whole: bool) -> None:
         """Take the desired state in at one go, if it is newer."""
         slices = Slices()
         self._put_in_force(view, slices.run_whole(self._desired_steps(view)), slices)
 
-    async def take_desired_in_slices(self, view: TableView, _is_whole: bool) -> None:
+    async def apply_desired_state_in_slices(
+        self, view: TableView, _is_whole: bool
+    ) -> None:
         """Take the desired state in, if it is newer; the older one rules meanwhile."""
         slices = Slices()
         state = await slices.run(self._desired_steps(view))
@@ -368,7 +372,7 @@
             self._desired_value = view.values["config"]
             self.routing.admission.take_desired(state)
         self.metrics.state_taken(slices.took_s, slices.longest_s)
-        self.note_step(Step.DESIRED_STATE)
+        self.record_start_step(Step.DESIRED_STATE)
         events.log(
             events.REVISION_APPLIED,
             revision=state.version,
@@ -381,13 +385,13 @@
             longest_hold_s=round(slices.longest_s, 4),
         )
 
-    def take_servers(self, view: TableView, is_whole: bool) -> None:
+    def apply_server_list(self, view: TableView, is_whole: bool) -> None:
         """Take the list of backend servers in."""
         now_s = clocks.now_s()
         present, refused = self._decoded_servers(view)
         backends = self.routing.backends
         if is_whole:
-            self.note_step(Step.SERVERS)
+            self.record_start_step(Step.SERVERS)
             change = backends.replace(
                 present, refused=refused, is_restored=view.is_restored, now_s=now_s
             )
@@ -407,8 +411,8 @@
                     era=view.era,
                     source=view.source,
                 )
-        self.routing.take_unlisted(change.lost)
-        self.routing.take_restarted(change.restarted)
+        self.routing.remove_unlisted(change.lost)
+        self.routing.handle_restarts(change.restarted)
 
     def _decoded_servers(
         self, view: TableView
@@ -438,14 +442,14 @@
             reason=next(iter(refused.values())),
         )
 
-    def store_returned(self) -> None:
+    def handle_store_recovery(self) -> None:
         """Note that the list may be incomplete for a while."""
         self.routing.backends.store_returned(now_s=clocks.now_s())
 
-    def take_settings(self, settings: RouterSettings) -> None:
+    def apply_settings(self, settings: RouterSettings) -> None:
         """Take changed settings in; own addresses stay until the next start."""
         self.settings = settings
-        self.routing.take_settings(settings)
+        self.routing.apply_settings(settings)
         self.freshness.limit_s = settings.proof_limit_s
         self.stop_plan.grace_s = settings.bounds.grace_s
 
@@ -481,7 +485,7 @@
             "load_age_s": self.routing.loads.others_age_s(now_s=now_s),
         }
 
-    def show_state(self) -> None:
+    def update_metrics(self) -> None:
         """Bring the metrics of what the process believes up to date."""
         now_s = clocks.now_s()
         loads = self.routing.loads
@@ -498,13 +502,13 @@
         self.metrics.limits(self.routing.flow_control.limits.state())
         self.metrics.suspects(len(suspects), len(suspects.held(now_s=now_s)))
 
-    def begin_start(self, times: StepTimes) -> None:
+    def resume_start(self, times: StepTimes) -> None:
         """Go on with the steps that the process has reached so far."""
         self.start_times = times
         for step, after_s in times.after_s().items():
             self.metrics.start_step_s.observe({"step": step}, after_s)
 
-    def note_step(self, step: Step) -> None:
+    def record_start_step(self, step: Step) -> None:
         """Note that the process has reached a step of its start."""
         if not self.start_times.note(step, now_s=clocks.now_s()):
             return
@@ -562,7 +566,7 @@
             limit_s=call.deadline_within_s(admitted.route.timeout_s) - now_s,
         )
         if refusal is not None:
-            raise DrainingError(refusal, retry_after_s=ELSEWHERE_RETRY_S)
+            raise DrainingError(refusal, retry_after_s=OTHER_INSTANCE_RETRY_S)
         if self.in_flight >= self.settings.limits.most_requests:
             msg = f"{self.in_flight} requests in progress here"
             raise OverloadedError(msg, retry_after_s=_BUSY_RETRY_S)
@@ -571,7 +575,7 @@
     def _unproven(self) -> UnprovenStateError:
         """Return the refusal of an instance that the store is cut off from."""
         msg = "the store could not be asked of late"
-        retry_after_s = self.routing.come_back_s(_UNPROVEN_S)
+        retry_after_s = self.routing.retry_after_s(_UNPROVEN_S)
         return UnprovenStateError(msg, retry_after_s=retry_after_s)
 
     async def _serve_admitted(
@@ -594,7 +598,7 @@
             served_by = forwarded.served_by
         took_s = clocks.now_s() - call.received_s
         if _OK <= status < _MULTIPLE_CHOICES:
-            self.note_step(Step.FIRST_ANSWER)
+            self.record_start_step(Step.FIRST_ANSWER)
             self._answer_times.record(admitted.route.name, took_s)
         first_event_s = local.output.first_event_s
         if not call.forwarded_by:
--- a/src/violethatch/_router_metrics.py
+++ b/src/violethatch/_router_metrics.py
@@ -220,7 +220,7 @@
             registry=self.registry,
         )
 
-    def watch_era(self, era: StoreEra) -> None:
+    def count_restores(self, era: StoreEra) -> None:
         """Count the store's restores."""
         era.on_restore(lambda: self.store_restores.inc({}))
 
@@ -244,7 +244,7 @@
             for priority, part in state.plan.parts.items():
                 self.admission_parts.set(labels | {"priority": str(priority)}, part)
 
-    def paused(self, pause_s: float) -> None:
+    def record_loop_pause(self, pause_s: float) -> None:
         """Count a pause of the event loop."""
         self.loop_pause_s.observe({}, pause_s)
 
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -23,10 +23,10 @@
 from .path_shares import ZonePosition
 from .paths import Path
 from .pipe_share import PipeShare
-from .progress import Progress
 from .router_settings import RouterSettings
 from .runner_health import RunnerHealth, ServerFault
 from .server_choice import ServerChoice
+from .silence_detection import SilenceDetector
 from .slow_runners import SlowRunners
 from .store_era import UNREAD, TableState
 from .stream_loads import StreamLoads
@@ -42,7 +42,7 @@
 class RestartListener(Protocol):
     """Is told of servers that have started again."""
 
-    def note_restarted(self, server_ids: frozenset[str]) -> None:
+    def on_restarted(self, server_ids: frozenset[str]) -> None:
         """Note that servers have started again, with nothing of before."""
 
 
@@ -57,11 +57,13 @@
         self._rng = rng
         self.backends = BackendTable(leaving_s=settings.bounds.leaving_s)
         self.health = RunnerHealth(stall_s=settings.bounds.stall_s)
-        self.hearsay = FaultReportReceiver(
+        self.peer_fault_reports = FaultReportReceiver(
             self.health, on_leaving=self._heard_leaving, rng=rng
         )
         #: Tells other instances of a sighting, where there are any.
-        self.tell: Callable[[FaultReport], None] = lambda _sighting: None
+        self.broadcast_fault_report: Callable[[FaultReport], None] = lambda _sighting: (
+            None
+        )
         self.probes = Probes(
             client, on_silent=self._note_silent, on_report=self._note_report
         )
@@ -100,22 +102,26 @@
         self.suspects = CrashSuspects()
         #: Tells other instances of an end; and of a trait that is cleared, with how
         #: many ends were known under it.
-        self.tell_end: Callable[[End], None] = lambda _end: None
-        self.tell_cleared: Callable[[str, int], None] = lambda _trait, _ends: None
+        self.broadcast_crash: Callable[[End], None] = lambda _end: None
+        self.broadcast_cleared: Callable[[str, int], None] = lambda _trait, _ends: None
         #: Tells whether this instance is the one that lets a request with a held part
         #: through when its time is over.
         self.may_try: Callable[[str], bool] = lambda _trait: True
         #: Stores whether a trait is held back, where that lasts.
-        self.keep_hold: Callable[[str], None] = lambda _trait: None
+        self.store_hold: Callable[[str], None] = lambda _trait: None
         self.paces = SlowRunners()
         #: Tells other instances what a slow runner has said, where there are any.
-        self.tell_pace: Callable[[str, float], None] = lambda _id, _slowness: None
-        self.progress = Progress(longest_silence_s=settings.policy.gap_limit_s)
-        self.choice = ServerChoice(rng)
+        self.broadcast_slowness: Callable[[str, float], None] = lambda _id, _slowness: (
+            None
+        )
+        self.silence_detector = SilenceDetector(
+            max_silence_s=settings.policy.gap_limit_s
+        )
+        self.server_choice = ServerChoice(rng)
         #: Returns what this instance's list of servers rests on.
         self.list_state: Callable[[], TableState] = lambda: UNREAD
         #: Tells how many instances are known to serve; 0 where none is.
-        self.instances: Callable[[], int] = lambda: 0
+        self.instance_count: Callable[[], int] = lambda: 0
         self.loads = StreamLoads()
         self.retries = RetryBudgets(
             settings, is_usable=lambda service: bool(self.backends.usable(service))
@@ -128,24 +134,24 @@
             paces=self.paces,
             loads=self.loads,
             pipe=PipeShare(rng),
-            instances=lambda: self.instances(),
+            instances=lambda: self.instance_count(),
         )
         self.admission = Admission(
             settings.admission,
             capacity=self._paths,
-            peers=SummedDemand(self.loads, instances=lambda: self.instances()),
+            peers=SummedDemand(self.loads, instances=lambda: self.instance_count()),
             returns=SpreadReturns(rng),
             phase=rng.random(),
         )
         self.loads.own_demand = self.admission.demand
 
-    def take_settings(self, settings: RouterSettings) -> None:
+    def apply_settings(self, settings: RouterSettings) -> None:
         """Take changed settings in."""
         self.settings = settings
         self.retries.settings = settings
         self.backends.leaving_s = settings.bounds.leaving_s
         self.health.stall_s = settings.bounds.stall_s
-        self.progress.longest_silence_s = settings.policy.gap_limit_s
+        self.silence_detector.max_silence_s = settings.policy.gap_limit_s
         self.admission.take_settings(settings.admission)
 
     def path(
@@ -179,7 +185,7 @@
             priority=priority,
         )
 
-    def path_apart(
+    def isolated_path(
         self, service: ServiceSpec, *, avoided: frozenset[str], trait: str
     ) -> Path | None:
         """Return a path for requests that may end servers, away from others' paths.
@@ -199,20 +205,22 @@
         self.expire()
         return self._paths.blocked_time(service, priority=priority)
 
-    def come_back_s(self, blocked_s: float = 0.0, *, asked_s: float = 0.0) -> float:
+    def retry_after_s(
+        self, blocked_s: float = 0.0, *, requested_backoff_s: float = 0.0
+    ) -> float:
         """Return when a caller who is turned away should come back, in seconds.
 
         Args:
             blocked_s: How long what blocks the caller is thought to last, in seconds.
             asked_s: Until when servers have asked for rest, in seconds.
         """
-        return come_back_s(blocked_s, asked_s=asked_s, rng=self._rng)
+        return come_back_s(blocked_s, asked_s=requested_backoff_s, rng=self._rng)
 
-    def stream_began(self) -> None:
+    def record_stream_start(self) -> None:
         """Count a stream that this instance begins."""
         self._paths.record_stream_start()
 
-    def know_instances(
+    def set_instance_sources(
         self, *, count: Callable[[], int], place: Callable[[], ZonePosition]
     ) -> None:
         """Take in who tells of the other instances.
@@ -221,7 +229,7 @@
             count: Tells how many are known to serve; 0 where none is.
             place: Tells the own place among those of the own zone.
         """
-        self.instances = count
+        self.instance_count = count
         self.retries.instances = count
         self._paths.zone_position = place
 
@@ -237,16 +245,16 @@
             events.log(events.SERVER_GONE, server_ids=list(expired), reason="lapsed")
             # A store that was away may have dropped them while they go on.
             self.forget(expired)
-        self.take_restarted(
+        self.handle_restarts(
             self.backends.apply_deferred(now_s=clocks.now_s()).restarted
         )
 
-    def take_unlisted(self, server_ids: Collection[str]) -> None:
+    def remove_unlisted(self, server_ids: Collection[str]) -> None:
         """Take in that servers are no longer listed."""
         self.ends.take_unlisted(server_ids)
         self.forget(server_ids)
 
-    def take_restarted(self, before: Sequence[BackendServer]) -> None:
+    def handle_restarts(self, before: Sequence[BackendServer]) -> None:
         """Take in that servers have started again under their ids.
 
         Args:
@@ -266,7 +274,7 @@
             self._note_proven(server, self.ends.proven(server), "new start")
         self.forget(ids)
         for run in tuple(self.runs):
-            run.note_restarted(ids)
+            run.on_restarted(ids)
 
     def _note_proven(self, server: BackendServer, ends: Iterable[End], by: str) -> None:
         """Note a server's ends under requests that were proven later.
@@ -291,11 +299,11 @@
         """Forget what was learnt of servers that are no longer listed."""
         for server_id in server_ids:
             self.health.forget(server_id)
-            self.hearsay.forget(server_id)
+            self.peer_fault_reports.forget(server_id)
             self.probes.forget(server_id)
-            self.progress.forget(server_id)
+            self.silence_detector.forget(server_id)
             self.paces.forget(server_id)
-            self.choice.forget(server_id)
+            self.server_choice.forget(server_id)
             self.loads.forget(server_id)
 
     def note_end(self, end: End) -> None:
@@ -303,9 +311,9 @@
         now_s = clocks.now_s()
         if not self.suspects.note(end, now_s=now_s):
             return
-        self.tell_end(end)
+        self.broadcast_crash(end)
         if self.suspects.hold(end.trait, now_s=now_s) is not None:
-            self.keep_hold(end.trait)
+            self.store_hold(end.trait)
 
     def note_cleared(
         self, traits: Iterable[str], *, begun_s: float | None = None
@@ -326,9 +334,9 @@
         if not self.suspects.clear(trait, now_s=clocks.now_s(), begun_s=begun_s):
             return
         events.log(events.TRAIT_CLEARED, trait=trait, ends=len(ends), was_held=was_held)
-        self.tell_cleared(trait, len(ends))
+        self.broadcast_cleared(trait, len(ends))
         if was_held:
-            self.keep_hold(trait)
+            self.store_hold(trait)
 
     def started_ms(self, server_id: str) -> int:
         """Return when a server's known start was; 0 where that is not known."""
@@ -356,7 +364,9 @@
         health_path = service.health_path if service is not None else ""
         return await self.client.reach(server, health_path=health_path)
 
-    def in_zones(self, service: ServiceSpec, zones: Collection[str]) -> frozenset[str]:
+    def server_ids_in_zones(
+        self, service: ServiceSpec, zones: Collection[str]
+    ) -> frozenset[str]:
         """Return the ids of a service's servers in some zones."""
         return frozenset(
             server.id
@@ -374,7 +384,9 @@
     def _note_leaving(self, server: BackendServer) -> None:
         """Log that a server has said that it leaves, and tell other instances."""
         events.log(events.RUNNER_LEAVING, server_ids=[server.id], reason="said so")
-        self.tell(FaultReport(server.id, ServerFault.LEAVING, 0.0, server.started_ms))
+        self.broadcast_fault_report(
+            FaultReport(server.id, ServerFault.LEAVING, 0.0, server.started_ms)
+        )
 
     def _heard_leaving(self, sighting: FaultReport) -> bool:
         """Take in that a server has told another instance that it leaves."""
@@ -389,7 +401,7 @@
 
     def _note_silent(self, server: BackendServer) -> None:
         """Leave a server alone that a probe found silent."""
-        self.note_trouble(server, ServerFault.SILENT, "", "gives no report")
+        self.record_fault(server, ServerFault.SILENT, "", "gives no report")
 
     def _note_report(self, server: BackendServer, report: RunnerReport) -> None:
         """Take in how slow a runner says that it is; log one that has become so."""
@@ -400,13 +412,13 @@
         self.paces.record(server.id, report.slowness, now_s=now_s)
         is_slow = server.id in self.paces.slow(now_s=now_s)
         if is_slow or was_slow:
-            self.tell_pace(server.id, report.slowness)
+            self.broadcast_slowness(server.id, report.slowness)
         if is_slow != was_slow:
             events.log(
                 events.SERVER_PACE, server_id=server.id, slowness=report.slowness
             )
 
-    def note_trouble(
+    def record_fault(
         self, server: BackendServer, trouble: ServerFault, request_id: str, reason: str
     ) -> None:
         """Leave a server alone for a while, and log why."""
@@ -422,7 +434,7 @@
             list_revision=self.backends.revision,
         )
 
-    def note_refusal(
+    def record_refusal(
         self,
         server_id: str,
         refusal: Refusal,
@@ -472,9 +484,11 @@
         sighting = FaultReport(server_id, trouble, rest_s, self.started_ms(server_id))
         server = self.backends.get(server_id)
         if trouble is ServerFault.SILENT and server is not None:
-            self.link_watch.when_sound(server, functools.partial(self.tell, sighting))
+            self.link_watch.when_sound(
+                server, functools.partial(self.broadcast_fault_report, sighting)
+            )
         else:
-            self.tell(sighting)
+            self.broadcast_fault_report(sighting)
         return rest_s
 
 
--- a/src/violethatch/_segments.py
+++ b/src/violethatch/_segments.py
@@ -13,7 +13,7 @@
 from .layers import LayerRange
 
 
-class Holding(NamedTuple):
+class SegmentRunner(NamedTuple):
     """A runner that holds all layers of a segment."""
 
     server: BackendServer
@@ -25,7 +25,7 @@
     """Layers between two neighbouring boundaries of ranges, and who holds them all."""
 
     layers: LayerRange
-    holdings: tuple[Holding, ...]
+    runners: tuple[SegmentRunner, ...]
 
     def split(self, layer: int) -> tuple[Segment, ...]:
         """Return the segment in two parts if a layer lies inside of it."""
@@ -38,11 +38,11 @@
     def _part(self, layers: LayerRange) -> Segment:
         """Return a part of the segment, with the time for its layers."""
         share = layers.size / self.layers.size
-        holdings = (Holding(server, share * ms) for server, ms in self.holdings)
+        holdings = (SegmentRunner(server, share * ms) for server, ms in self.runners)
         return Segment(layers, tuple(holdings))
 
 
-def segments(
+def split_into_segments(
     holders: Sequence[BackendServer], engine: EngineSpec
 ) -> tuple[Segment, ...]:
     """Return the model, first layer to last, cut at each boundary of a held range."""
@@ -64,7 +64,7 @@
     return Segment(
         layers,
         tuple(
-            Holding(one, engine.step_time_ms(engine.kinds[one.kind], layers.size))
+            SegmentRunner(one, engine.step_time_ms(engine.kinds[one.kind], layers.size))
             for one in holders
             if one.layers and one.layers.covers(layers)
         ),
--- a/src/violethatch/forwarding/_listener.py
+++ b/src/violethatch/forwarding/_listener.py
@@ -114,7 +114,7 @@
         call = _call(message, now_s=clocks.now_s())
         alive = asyncio.create_task(responder.stay_alive())
         try:
-            async with self._server.open_answers.open():
+            async with self._server.open_answers.track():
                 await self._server.serve_forwarded(
                     call,
                     responder,
@@ -132,7 +132,7 @@
             _note_left(call)
             responder.abort()
         except asyncio.CancelledError:
-            if self._server.open_answers.is_cut:
+            if self._server.open_answers.is_aborted:
                 self._note_cut(call, responder)
             else:
                 _note_left(call)
--- a/src/violethatch/paths.py
+++ b/src/violethatch/paths.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from ._segments import Segment, segments
+from ._segments import Segment, split_into_segments
 from .backends import BackendServer
 from .engine_model import HOP_MS, EngineSpec
 from .layers import LayerRange, tiles
@@ -171,7 +171,7 @@
             one for one in holders if one.layers and one.layers.first == 0
         ]
         self._zones = sorted({holder.availability_zone for holder in holders})
-        self._segments = segments(holders, engine)
+        self._segments = split_into_segments(holders, engine)
         self._read_ms = {
             name: _READ_WEIGHT * engine.usual_prefill_ms(kind, 1) / _left_tokens(engine)
             for name, kind in engine.kinds.items()
@@ -185,7 +185,7 @@
     @property
     def chains(self) -> int:
         """How many runners a path may begin at."""
-        return len(self._segments[0].holdings) if self._segments else 0
+        return len(self._segments[0].runners) if self._segments else 0
 
     def find(
         self,
@@ -317,7 +317,7 @@
         head: Which part the path has to begin with, if that is given.
     """
     gone_on: dict[str, _Way] = {}
-    for server, step_ms in segment.holdings:
+    for server, step_ms in segment.runners:
         if server.id in usage.left_out:
             continue
         if head is not None and not head.allows(server, segment.layers):
--- a/src/violethatch/platform/_following.py
+++ b/src/violethatch/platform/_following.py
@@ -122,7 +122,7 @@
             await self._relay.start(self._settings.listen.peers)
             await self._datagrams.start(self._settings.listen.peers)
             self._links.open()
-            self._router.routing.keep_hold = self._held.keep
+            self._router.routing.store_hold = self._held.keep
 
     def work(self) -> list[Coroutine[Any, Any, None]]:
         """Return all that has to run until the process ends."""
@@ -174,8 +174,8 @@
             self._follower(
                 _SERVERS_TABLE,
                 freshness=Freshness(limit_s=self._settings.proof_limit_s),
-                take=self._router.take_servers,
-                returned=self._router.store_returned,
+                take=self._router.apply_server_list,
+                returned=self._router.handle_store_recovery,
                 first_pause_s=self._first_pause_s,
             ),
         ]
@@ -216,7 +216,7 @@
 
     async def _take_desired(self, view: TableView, is_whole: bool) -> None:
         """Take the desired state in, for calls and for placement."""
-        await self._router.take_desired_in_slices(view, is_whole)
+        await self._router.apply_desired_state_in_slices(view, is_whole)
         self._duty.desired = self._router.desired
 
 
--- a/src/violethatch/platform/_listener.py
+++ b/src/violethatch/platform/_listener.py
@@ -17,7 +17,7 @@
 
 from .. import clocks, events
 from .._problems import problem_response
-from .._router import ELSEWHERE_RETRY_S, Router
+from .._router import OTHER_INSTANCE_RETRY_S, Router
 from .._serving import listen
 from ..desired import CallLimits
 from ..errors import (
@@ -75,7 +75,7 @@
         """Tell whether further connections can be taken; log when that changes."""
         open_count = len(self._server.connections)
         has_room = open_count < self._router.settings.limits.most_connections
-        has_room = self._router.has_request_room() and has_room
+        has_room = self._router.has_request_capacity() and has_room
         if has_room != self._had_room:
             self._had_room = has_room
             events.log(
@@ -99,7 +99,7 @@
             if not self._is_serving:
                 break
             await asyncio.sleep(_CLOSE_LOOK_S)
-        self._router.open_answers.cut()
+        self._router.open_answers.abort_all()
         await _read_what_came()
         self._server.close_idle()
         await self._server.shutdown(timeout=_CLOSE_S)
@@ -119,7 +119,7 @@
         call_id = request.headers.get(_headers.CALL_ID, "")
         call: Call | None = None
         try:
-            async with self._router.open_answers.open():
+            async with self._router.open_answers.track():
                 call = await read_call(
                     request, received_s=started_s, limits=self._limits()
                 )
@@ -129,19 +129,19 @@
             return self._cut(call_id, error, responder, age_s=age_s, is_read=bool(call))
         except VioletHatchError as error:
             age_s = clocks.now_s() - started_s
-            self._router.refused(call_id, error, age_s=age_s)
+            self._router.record_error(call_id, error, age_s=age_s)
             return self._problem(error)
         except (ConnectionError, aiohttp.ClientConnectionResetError):
-            self._router.caller_left(call_id, age_s=clocks.now_s() - started_s)
+            self._router.record_disconnect(call_id, age_s=clocks.now_s() - started_s)
         except asyncio.CancelledError:
             age_s = clocks.now_s() - started_s
-            if self._router.open_answers.is_cut:
+            if self._router.open_answers.is_aborted:
                 self._note_cut(call_id, responder, age_s=age_s, is_read=bool(call))
             else:
-                self._router.caller_left(call_id, age_s=age_s)
+                self._router.record_disconnect(call_id, age_s=age_s)
             raise
         except Exception as error:
-            self._router.failed(call_id, error)
+            self._router.record_unexpected_error(call_id, error)
             if responder.response is None:
                 return self._problem(VioletHatchError("internal error"))
             responder.abort()
@@ -163,7 +163,7 @@
             return responder.response
         if is_read:
             return self._problem(error)
-        return self._problem(DrainingError(retry_after_s=ELSEWHERE_RETRY_S))
+        return self._problem(DrainingError(retry_after_s=OTHER_INSTANCE_RETRY_S))
 
     def _note_cut(
         self, call_id: str, responder: CallerResponder, *, age_s: float, is_read: bool
@@ -196,7 +196,7 @@
 
     def _note_bad_head(self, reason: str) -> None:
         """Note a request that could not be understood, and got 400."""
-        self._router.refused("", BadRequestError(reason), age_s=0.0)
+        self._router.record_error("", BadRequestError(reason), age_s=0.0)
 
 
 async def _read_what_came() -> None:
@@ -231,14 +231,14 @@
         has_room = self._has_room()
         is_ready = self._router.is_ready and has_room
         if is_ready:
-            self._router.note_step(Step.READY)
+            self._router.record_start_step(Step.READY)
         return Response(status=_OK if is_ready else _UNAVAILABLE)
 
     async def _tell(self, request: BaseRequest) -> StreamResponse:
         """Tell the metrics, or the state."""
         if request.path == "/state":
             return Response(body=msgspec.json.encode(self._router.state()))
-        self._router.show_state()
+        self._router.update_metrics()
         body, headers = render(
             self._router.metrics.registry, request.headers.getall("Accept", [])
         )
--- a/src/violethatch/platform/_parts.py
+++ b/src/violethatch/platform/_parts.py
@@ -39,7 +39,7 @@
     def takers(self) -> list[Callable[[RouterSettings], None]]:
         """Return what takes changed settings in."""
         return [
-            self.router.take_settings,
+            self.router.apply_settings,
             lambda settings: self.store.take_settings(settings.store),
             lambda settings: self.duty.take_policy(settings.policy),
             self.following.take_settings,
@@ -64,12 +64,12 @@
         settings, client=Runners(kept, fresh), decoder=WireDecoder(), rng=rng
     )
     era = StoreEra()
-    router.metrics.watch_era(era)
+    router.metrics.count_restores(era)
     connections = functools.partial(ConnectionChoice, kept, fresh, max_idle_s=KEEP_S)
     store = Store(settings.store, connections(), router.metrics, era=era)
     directory = InstanceDirectory(_own_entry(settings))
     if settings.listen.peers is not None:
-        router.use_forwarding(
+        router.enable_forwarding(
             ForwardClient(kept, fresh), peers=directory.others, rng=rng
         )
     duty = PlacementDuty(
--- a/src/violethatch/platform/_process.py
+++ b/src/violethatch/platform/_process.py
@@ -121,14 +121,14 @@
         kept = make_session(is_kept=True)
         fresh = make_session(is_kept=False)
         parts = make_parts(self._settings, kept=kept, fresh=fresh)
-        parts.router.begin_start(self._start_times)
+        parts.router.resume_start(self._start_times)
         self._takers = parts.takers()
         self._on_imported()
         await parts.following.listen()
         self._start_tasks(parts)
         callers = await self._listen(parts.router)
         stop = self._watch_signals(parts.router)
-        parts.router.note_step(Step.LISTENING)
+        parts.router.record_start_step(Step.LISTENING)
         events.log(events.STARTED, id=self._settings.instance.id)
         await stop.wait()
         await self._drain(parts)
@@ -147,7 +147,7 @@
             parts.duty.run(),
             parts.health_checks.run(),
             self._watch_file(),
-            watch_pauses(parts.router.metrics.paused),
+            watch_pauses(parts.router.metrics.record_loop_pause),
         ):
             self._tasks.append(asyncio.create_task(_keep_running(work)))
 
--- a/src/violethatch/routes.py
+++ b/src/violethatch/routes.py
@@ -197,7 +197,7 @@
         return options[turn % len(options)]
 
 
-class LeastInFlightHops(_PerHop):
+class MinInFlightHops(_PerHop):
     """Baseline: the runner with the fewest streams of this instance.
 
     .. versionadded:: 26.1.0
--- a/src/violethatch/progress.py
+++ b/src/violethatch/silence_detection.py
@@ -28,7 +28,7 @@
 _LEAST_S = 0.06
 
 
-class Progress:
+class SilenceDetector:
     """What an instance's streams show of runners.
 
     Args:
@@ -38,42 +38,42 @@
     .. versionadded:: 26.2.0
     """
 
-    def __init__(self, *, longest_silence_s: float) -> None:
-        self.longest_silence_s = longest_silence_s
-        self.usual_gap_s = longest_silence_s
+    def __init__(self, *, max_silence_s: float) -> None:
+        self.max_silence_s = max_silence_s
+        self.usual_gap_s = max_silence_s
         self._streams: collections.Counter[str] = collections.Counter()
         self._seen_s: dict[str, float] = {}
 
     @property
-    def least_silence_s(self) -> float:
+    def min_silence_s(self) -> float:
         """The shortest time without events that may mean something, in seconds."""
         least_s = max(_LEAST_S, _LEAST_GAPS * self.usual_gap_s)
-        return min(self.longest_silence_s, least_s)
+        return min(self.max_silence_s, least_s)
 
-    def began(self, server_ids: Collection[str], *, now_s: float) -> None:
+    def stream_started(self, server_ids: Collection[str], *, now_s: float) -> None:
         """Note a stream's first event along a path."""
         self._streams.update(server_ids)
         self._note(server_ids, now_s)
 
-    def went_on(
+    def stream_continued(
         self, server_ids: Collection[str], *, gap_s: float, now_s: float
     ) -> None:
         """Note a stream's further event along a path, and the time since the last."""
         self.usual_gap_s += _GAIN * (gap_s - self.usual_gap_s)
         self._note(server_ids, now_s)
 
-    def ended(self, server_ids: Collection[str]) -> None:
+    def stream_ended(self, server_ids: Collection[str]) -> None:
         """Note that a stream that had begun no longer passes along a path."""
         for server_id in server_ids:
             self._streams[server_id] -= 1
             if self._streams[server_id] <= 0:
                 del self._streams[server_id]
 
-    def silent(self, server_ids: Iterable[str], *, now_s: float) -> list[str]:
+    def silent_runners(self, server_ids: Iterable[str], *, now_s: float) -> list[str]:
         """Return the runners of which so many events are missing that it tells."""
         return [one for one in server_ids if self._is_silent(one, now_s)]
 
-    def unseen(self, server_ids: Iterable[str], *, since_s: float) -> list[str]:
+    def not_seen_since(self, server_ids: Iterable[str], *, since_s: float) -> list[str]:
         """Return the runners that have shown nothing since a moment."""
         return [one for one in server_ids if self._seen_s.get(one, 0.0) < since_s]
 
@@ -84,11 +84,11 @@
     def _is_silent(self, server_id: str, now_s: float) -> bool:
         """Tell whether too many events are missing at a runner."""
         silence_s = now_s - self._seen_s.get(server_id, 0.0)
-        if silence_s < self.least_silence_s:
+        if silence_s < self.min_silence_s:
             return False
         streams = max(1, self._streams[server_id])
         telling_s = _MISSING_EVENTS * self.usual_gap_s / streams
-        return silence_s >= min(self.longest_silence_s, telling_s)
+        return silence_s >= min(self.max_silence_s, telling_s)
 
     def _note(self, server_ids: Iterable[str], now_s: float) -> None:
         """Note that runners work."""
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -147,7 +147,7 @@
         admission = self._routing.admission
         if not self._work.is_held and self._call.last_event_id is None:
             self._is_reserved = await admission.admit(self._service.name, self._request)
-        self._routing.stream_began()
+        self._routing.record_stream_start()
         admission.began(self._service.name)
         try:
             return await self._serve_admitted(responder)
@@ -317,7 +317,7 @@
         """
         suspected = self._work.suspected_trait
         if suspected is not None:
-            apart = self._routing.path_apart(
+            apart = self._routing.isolated_path(
                 self._service, avoided=self._avoided, trait=suspected
             )
             if apart is not None:
@@ -463,7 +463,7 @@
             trouble = await self._work.trouble_of(
                 error, run.path.first, has_begun=run.has_begun
             )
-            self._routing.note_trouble(
+            self._routing.record_fault(
                 run.path.first, trouble, self._call.id, str(error)
             )
             return RunOutcome(run, RunEnd.LOST)
@@ -494,7 +494,7 @@
         )
         self._avoided |= {run.path.first.id}
         if is_server_failure(answer.status):
-            self._routing.note_trouble(
+            self._routing.record_fault(
                 run.path.first,
                 ServerFault.FAILED,
                 self._call.id,
@@ -529,7 +529,7 @@
     ) -> None:
         """Leave a first runner alone that gave no answer."""
         self._avoided |= {server.id}
-        self._routing.note_trouble(server, trouble, self._call.id, reason)
+        self._routing.record_fault(server, trouble, self._call.id, reason)
 
     def _note_ended(self, run: StreamRun) -> None:
         """Log that a run can't go on, and avoid the runners at fault."""
@@ -549,7 +549,7 @@
         """Leave the runner alone that a refusal names, or the first one."""
         first = run.path.first
         culprit = run.path.server_at(refusal.address) or first
-        self._routing.note_refusal(
+        self._routing.record_refusal(
             culprit.id,
             refusal,
             self._call.id,
@@ -575,7 +575,9 @@
         )
         if retry_after_s is None:
             asked_s = 0.0 if blocked is None else blocked.requested_s
-            retry_after_s = self._routing.come_back_s(blocked_s, asked_s=asked_s)
+            retry_after_s = self._routing.retry_after_s(
+                blocked_s, requested_backoff_s=asked_s
+            )
         if self._routing.link_watch.is_lost(self._service.name):
             return LinksLostError(retry_after_s=retry_after_s)
         if blocked is None:
--- a/src/violethatch/streams/_check.py
+++ b/src/violethatch/streams/_check.py
@@ -85,7 +85,7 @@
         self._service = service
         self._call_id = call_id
         self._work = work
-        self._progress = routing.progress
+        self._progress = routing.silence_detector
 
     async def verdict(self, silence: Silence) -> Verdict:
         """Return whom a silence is due to."""
@@ -141,7 +141,7 @@
             return Verdict(Finding.NOTHING)
         named = silence.path.server_at(report.stalled.get(self._call_id))
         if named is not None:
-            self._routing.note_trouble(
+            self._routing.record_fault(
                 named, ServerFault.NAMED, self._call_id, "a request waits for it"
             )
             return await self.blame(silence, [named])
@@ -185,9 +185,9 @@
         """Return the path's runners that other streams don't show to work."""
         stages = {stage.server.id: stage.server for stage in silence.path.stages}
         if silence.had_event:
-            ids = self._progress.silent(stages, now_s=clocks.now_s())
+            ids = self._progress.silent_runners(stages, now_s=clocks.now_s())
         else:
-            ids = self._progress.unseen(stages, since_s=silence.since_s)
+            ids = self._progress.not_seen_since(stages, since_s=silence.since_s)
         return [stages[one] for one in ids]
 
     def _resting_stages(self, path: Path) -> list[BackendServer]:
@@ -226,7 +226,7 @@
         blamed = silence.suspects | {one.id for one in culprits}
         stages = [stage.server for stage in silence.path.stages]
         working = {one.availability_zone for one in stages if one.id not in blamed}
-        return self._routing.in_zones(self._service, zones - working)
+        return self._routing.server_ids_in_zones(self._service, zones - working)
 
     def _log(
         self,
--- a/src/violethatch/streams/_run.py
+++ b/src/violethatch/streams/_run.py
@@ -69,7 +69,7 @@
         self._send = send
         self._policy = routing.settings.policy
         self._deadline_s = send.deadline_s
-        self._progress = routing.progress
+        self._progress = routing.silence_detector
         self._check = SilenceCheck(routing, service, send.call.id, work)
         #: When its latest event came, if one has.
         self._event_s: float | None = None
@@ -174,7 +174,7 @@
         elif now_s - self._given_s >= _SOUND_AFTER_S:
             self._work.went_on()
 
-    def note_restarted(self, server_ids: frozenset[str]) -> None:
+    def on_restarted(self, server_ids: frozenset[str]) -> None:
         """Note that servers have started again; those on the path lack the request."""
         on_path = server_ids & self.path.server_ids
         if on_path:
@@ -186,7 +186,7 @@
         """Return the silence before a check, in seconds."""
         if self._event_s is None:
             return self._policy.first_event_limit_s
-        return self._progress.least_silence_s
+        return self._progress.min_silence_s
 
     def _note_event(self) -> None:
         """Note that the path's runners work."""
@@ -195,15 +195,17 @@
         self._end_silence("goes_on")
         ids = self.path.server_ids
         if self._event_s is None:
-            self._progress.began(ids, now_s=now_s)
+            self._progress.stream_started(ids, now_s=now_s)
         else:
-            self._progress.went_on(ids, gap_s=now_s - self._event_s, now_s=now_s)
+            self._progress.stream_continued(
+                ids, gap_s=now_s - self._event_s, now_s=now_s
+            )
         self._event_s = now_s
 
     def _note_end(self) -> None:
         """Note that the stream no longer passes along its path."""
         if self._event_s is not None:
-            self._progress.ended(self.path.server_ids)
+            self._progress.stream_ended(self.path.server_ids)
         self._event_s = None
 
     async def _wait(self, coming: asyncio.Future[Any], limit_s: float) -> None:
@@ -398,7 +400,7 @@
             if order.outcome is not OrderOutcome.CONFLICT or obstacle is None:
                 return False
             # Others' streams would ask for the same path in the same moment.
-            self._routing.note_trouble(
+            self._routing.record_fault(
                 obstacle, ServerFault.ABSENT, self._call.id, "in the way of a move"
             )
             self.suspects |= {obstacle.id}
@@ -416,7 +418,7 @@
         self.count_in()
         if had_begun:
             self._event_s = clocks.now_s()
-            self._progress.began(path.server_ids, now_s=self._event_s)
+            self._progress.stream_started(path.server_ids, now_s=self._event_s)
 
 
 def _see(checking: asyncio.Task[None]) -> None:
--- a/tests/mortal_fleet.py
+++ b/tests/mortal_fleet.py
@@ -9,7 +9,7 @@
 from router_fakes import (
     FakeAnswer,
     FakeResponder,
-    broken,
+    broken_connection,
     events,
     make_call,
     report,
@@ -79,12 +79,12 @@
                 raise step
             if isinstance(step, bytes):
                 if ended.done():
-                    raise broken()
+                    raise broken_connection()
                 yield step
                 continue
             await asyncio.wait((ended,), timeout=step)
             if ended.done():
-                raise broken()
+                raise broken_connection()
         ended.cancel()
 
 
@@ -134,7 +134,7 @@
     def tell(self, values):
         """Tell all routers of the list's changes."""
         for router in self.routers:
-            router.take_servers(TableView(values, 1, 0.0), False)
+            router.apply_server_list(TableView(values, 1, 0.0), False)
 
     def end(self, server):
         """End a server; another one is back after a while."""
@@ -167,11 +167,11 @@
             self.end(server)
             if self.unframed_rest is not None:
                 return FakeAnswer(self.unframed_rest, is_framed=False)
-            raise broken()
+            raise broken_connection()
         if send.path is None:
             await asyncio.sleep(PLAIN_S)
             if server.has_ended.is_set():
-                raise broken()
+                raise broken_connection()
             return FakeAnswer(b"done")
         return MortalAnswer(server, self.script)
 
@@ -313,7 +313,7 @@
         PeerLinks(datagrams, router, rng=self.rng).open()
         self.servers.routers.append(router)
         listed = {one: server.listed for one, server in self.servers.by_id.items()}
-        router.take_servers(TableView(listed, 1, 0.0), True)
+        router.apply_server_list(TableView(listed, 1, 0.0), True)
         return router
 
     async def ask(self, router, *, path="/draft/1", body=b"a menu", **changes):
--- a/tests/router_fakes.py
+++ b/tests/router_fakes.py
@@ -79,15 +79,15 @@
         self.closed = is_whole
 
 
-def refused(*, address=None, is_misdirected=False):
+def refused_answer(*, address=None, is_misdirected=False):
     """Return a refusal that says that nothing has run."""
     return FakeAnswer(status=503, refusal=Refusal(address, is_misdirected))
 
 
-LOST = AnswerLostError("lost")
+ANSWER_LOST = AnswerLostError("lost")
 
 
-def broken():
+def broken_connection():
     """Return the error of a connection that ended."""
     return ConnectionBrokenError("broken")
 
@@ -101,8 +101,8 @@
         self.repaths = []
         self.placed = []
         self.reports = {}
-        self.refusing = set()
-        self.looked = []
+        self.refusing_ids = set()
+        self.checked_ids = []
         self.repath_outcome = OrderAnswer(OrderOutcome.DONE)
         self.place_outcome = OrderAnswer(OrderOutcome.BEGUN)
         self.on_repath = None
@@ -117,12 +117,14 @@
         return await answer() if callable(answer) else answer
 
     async def is_refusing(self, server):
-        self.looked.append(server.id)
-        return server.id in self.refusing
+        self.checked_ids.append(server.id)
+        return server.id in self.refusing_ids
 
     async def reach(self, server, *, health_path):
         return (
-            ReachOutcome.SILENT if server.id in self.refusing else ReachOutcome.ANSWERED
+            ReachOutcome.SILENT
+            if server.id in self.refusing_ids
+            else ReachOutcome.ANSWERED
         )
 
     async def report(self, server):
@@ -190,7 +192,7 @@
     return routing
 
 
-def make_call(*, path="/draft/1", wait_s=5.0, **changes):
+def make_call(*, path="/draft/1", timeout_s=5.0, **changes):
     """Return a caller's request."""
     now_s = clocks.now_s()
     call = Call(
@@ -202,7 +204,7 @@
         body=b"a menu",
         key="key-1",
         received_s=now_s,
-        deadline_s=now_s + wait_s,
+        deadline_s=now_s + timeout_s,
         last_event_id=None,
         prompt_tokens=800,
     )
--- a/tests/signaling_servers.py
+++ b/tests/signaling_servers.py
@@ -273,7 +273,7 @@
 
     def list(self, values, *, is_whole=False):
         """Apply a full list of servers, or changes to it."""
-        self.router.take_servers(TableView(values, 1, 0.0), is_whole)
+        self.router.apply_server_list(TableView(values, 1, 0.0), is_whole)
 
     async def ask(self, *, path="/draft/1", **changes):
         """Send a request; return its response or error."""
--- a/tests/test_admission_failures.py
+++ b/tests/test_admission_failures.py
@@ -146,8 +146,8 @@
         self.datagrams = fleet.network.join(own, fleet.entries)
         self.links = PeerLinks(self.datagrams, self.router, rng=fleet.rng)
         self.links.open()
-        self.router.take_desired(TableView({"config": state()}, 1, 0.0), True)
-        self.router.take_servers(TableView(RUNNERS, 1, 0.0), True)
+        self.router.apply_desired_state(TableView({"config": state()}, 1, 0.0), True)
+        self.router.apply_server_list(TableView(RUNNERS, 1, 0.0), True)
         self.tasks = []
         self.is_reachable = True
         #: The calls that it serves.
@@ -280,7 +280,7 @@
         """Ask an instance once."""
         instance.router.freshness.proven(clocks.now_s())
         responder = FirstEvent()
-        call = make_call(path=path + "1", id=call_id, body=body, wait_s=wait_s)
+        call = make_call(path=path + "1", id=call_id, body=body, timeout_s=wait_s)
         began_s, error = self.at_s, None
         try:
             await instance.router.serve(call, responder)
@@ -461,10 +461,12 @@
                 one.datagrams.directory.take(
                     fleet.entries, is_whole=True, is_restored=True
                 )
-                one.router.store_returned()
+                one.router.handle_store_recovery()
                 view = TableView(RUNNERS, 1, 0.0, is_restored=True)
-                one.router.take_servers(view, True)
-                one.router.take_desired(TableView({"config": state()}, 1, 0.0), True)
+                one.router.apply_server_list(view, True)
+                one.router.apply_desired_state(
+                    TableView({"config": state()}, 1, 0.0), True
+                )
             await fleet.offer(3.0)
             rooms.extend(one.room() for one in fleet.instances)
 
@@ -479,7 +481,7 @@
             await fleet.offer(3.0)
             view = TableView({"config": state(2, (1, 0, 2))}, 2, 0.0)
             for one in fleet.instances:
-                one.router.take_desired(view, True)
+                one.router.apply_desired_state(view, True)
             await fleet.offer(5.0)
 
         fleet = play(failure)
@@ -501,7 +503,7 @@
             ):
                 for one in fleet.instances:
                     made = one.router.settings._replace(admission=section)
-                    one.router.take_settings(made)
+                    one.router.apply_settings(made)
                 await fleet.offer(for_s)
 
         fleet = play(failure)
--- a/tests/test_callers_listener.py
+++ b/tests/test_callers_listener.py
@@ -14,7 +14,7 @@
 import pytest
 
 from own_ports import free_ports
-from router_fakes import LOST, FakeAnswer, FakeClient, settings
+from router_fakes import ANSWER_LOST, FakeAnswer, FakeClient, settings
 from router_fakes import events as stream_events
 from routing_samples import call_route, desired_state, plain_server, runner
 from signaling_servers import PLAIN
@@ -229,7 +229,7 @@
 
 async def test_unframed_answer_of_a_lost_run_does_not_look_whole():
     """Its connection ended as after a whole answer: the caller took a part for all."""
-    client = StreamingClient(0.05, is_framed=False, error=LOST)
+    client = StreamingClient(0.05, is_framed=False, error=ANSWER_LOST)
     site = Site(0, client=client)
     await site.start()
     with pytest.raises(ConnectionResetError):
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -145,7 +145,7 @@
         """It has left; a send would be for nobody."""
         client = FakeClient(asyncio.Event())
         routing = make_routing(client, A, rng=random.Random(1))
-        stream = StreamCall(routing, make_call(wait_s=5.0), admitted())
+        stream = StreamCall(routing, make_call(timeout_s=5.0), admitted())
         serving = asyncio.create_task(stream.serve(FakeResponder()))
         await asyncio.sleep(0.01)
         suspend(60.0)
@@ -158,7 +158,7 @@
         waking = asyncio.Event()
         client = FakeClient(FakeAnswer(events(1), waking, events(2)))
         routing = make_routing(client, A, rng=random.Random(1), gap_limit_s="0.2")
-        call = make_call(wait_s=60.0)
+        call = make_call(timeout_s=60.0)
         stream = StreamCall(routing, call, admitted())
         responder = FakeResponder()
         serving = asyncio.create_task(stream.serve(responder))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -81,7 +81,7 @@
         rng=random.Random(1),
     )
     view = TableView({"a": good(3), "b": good(4)}, 1, 0.0)
-    made.take_servers(view, True)
+    made.apply_server_list(view, True)
     return made
 
 
@@ -128,9 +128,9 @@
     def test_it_takes_its_runner_out_and_no_other(self, value, is_whole):
         """The same on both ways in, also soon after the store's return."""
         made = router()
-        made.store_returned()
+        made.handle_store_recovery()
         rows = {"a": value, "b": good(4)} if is_whole else {"a": value}
-        made.take_servers(TableView(rows, 2, 0.0), is_whole)
+        made.apply_server_list(TableView(rows, 2, 0.0), is_whole)
         assert [one.id for one in made.routing.backends.usable("model")] == ["b"]
         path = made.routing.path(admitted().service)
         assert path.server_ids == {"b"}
@@ -138,8 +138,8 @@
     def test_next_good_entry_brings_it_back(self):
         """The runner itself writes again within a heartbeat."""
         made = router()
-        made.take_servers(TableView({"a": b"?"}, 2, 0.0), False)
-        made.take_servers(TableView({"a": good(3)}, 3, 0.0), False)
+        made.apply_server_list(TableView({"a": b"?"}, 2, 0.0), False)
+        made.apply_server_list(TableView({"a": good(3)}, 3, 0.0), False)
         assert len(made.routing.backends.usable("model")) == 2
 
     def test_many_of_them_are_one_line_and_counted(self, monkeypatch):
@@ -150,7 +150,7 @@
         )
         made = router()
         rows = {f"x{n}": b"?" for n in range(500)}
-        made.take_servers(TableView(rows, 2, 0.0), False)
+        made.apply_server_list(TableView(rows, 2, 0.0), False)
         (line,) = [one for one in lines if one["number"] == 2408]
         assert len(line["rows"]) <= 10
         assert line["count"] == 500
@@ -163,7 +163,7 @@
         made = router()
         rows = {f"x{n}": value for n, value in enumerate(values)}
         rows |= {"a": good(3), "b": good(4)}
-        made.take_servers(TableView(rows, 2, 0.0), is_whole)
+        made.apply_server_list(TableView(rows, 2, 0.0), is_whole)
         service = admitted().service
         usable = {one.id for one in made.routing.backends.usable("model")}
         assert {"a", "b"} <= usable
@@ -173,7 +173,7 @@
     def test_address_that_another_id_has_too(self):
         """Both are listed; who answers there tells whether it is the one named."""
         made = router()
-        made.take_servers(TableView({"c": good(3)}, 2, 0.0), False)
+        made.apply_server_list(TableView({"c": good(3)}, 2, 0.0), False)
         assert len(made.routing.backends.usable("model")) == 3
 
 
@@ -183,7 +183,7 @@
     def test_desired_state(self, value):
         """The older one stays, and proves nothing any more."""
         made = router()
-        made.take_desired(TableView({"config": value}, 2, 0.0), False)
+        made.apply_desired_state(TableView({"config": value}, 2, 0.0), False)
         assert made.desired is None
         assert not made.freshness.is_fresh(now_s=clocks.now_s())
 
--- a/tests/test_parts_that_end_servers.py
+++ b/tests/test_parts_that_end_servers.py
@@ -190,12 +190,12 @@
     fleet = Fleet(6, Servers(model_runner))
     stored = set()
     for router in fleet.routers:
-        router.routing.keep_hold = stored.add
+        router.routing.store_hold = stored.add
     for number, router in enumerate(fleet.routers[:2]):
         router.routing.note_end(end(f"s{number}", of=PART))
     await asyncio.sleep(0.1)
     started = fleet.join(fleet.entries["i5"])
-    started.routing.keep_hold = stored.add
+    started.routing.store_hold = stored.add
     started.routing.note_end(end("s2", of=PART))
     await asyncio.sleep(1.0)
     now_s = clocks.now_s()
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -39,7 +39,9 @@
     for rank in range(count):
         routing = make_routing(FakeClient(), *servers, rng=random.Random(rank))
         place = ZonePosition((rank + 0.5) / count, count)
-        routing.know_instances(count=lambda: count, place=lambda place=place: place)
+        routing.set_instance_sources(
+            count=lambda: count, place=lambda place=place: place
+        )
         made.append(routing)
     return made
 
@@ -108,7 +110,7 @@
         """Parts that were laid before are not used over it."""
         (one,) = routings(1, *NEAR)
         first = one.path(SERVICE).first
-        one.note_trouble(first, ServerFault.SILENT, "c1", "gives no report")
+        one.record_fault(first, ServerFault.SILENT, "c1", "gives no report")
         assert one.path(SERVICE).first.id != first.id
 
 
@@ -205,14 +207,14 @@
         for _ in range(20):
             one.loads.started(usual, 900.0, crossing_ms=0.0, now_s=clocks.now_s())
         for number in range(30):
-            apart = one.path_apart(SERVICE, avoided=frozenset(), trait=f"w{number}")
+            apart = one.isolated_path(SERVICE, avoided=frozenset(), trait=f"w{number}")
             assert apart.first.id != usual.first.id
 
     def test_several_are_not_at_the_same_server(self):
         """They would stay each other's company."""
         (one,) = routings(1, *NEAR, *FAR)
         firsts = {
-            one.path_apart(SERVICE, avoided=frozenset(), trait=f"w{number}").first.id
+            one.isolated_path(SERVICE, avoided=frozenset(), trait=f"w{number}").first.id
             for number in range(30)
         }
         assert len(firsts) == 3
@@ -220,7 +222,7 @@
     def test_instances_choose_the_same_for_a_work(self):
         """It does not go to another server at each instance."""
         firsts = {
-            one.path_apart(SERVICE, avoided=frozenset(), trait="w").first.id
+            one.isolated_path(SERVICE, avoided=frozenset(), trait="w").first.id
             for one in routings(6, *NEAR, *FAR)
         }
         assert len(firsts) == 1
@@ -229,7 +231,7 @@
         """With nobody else left, there is no such path."""
         (one,) = routings(1, *NEAR)
         firsts = frozenset(f"n{chain}-0" for chain in range(3))
-        assert one.path_apart(SERVICE, avoided=firsts, trait="w") is None
+        assert one.isolated_path(SERVICE, avoided=firsts, trait="w") is None
 
 
 class TestNewDesiredStates:
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -12,14 +12,14 @@
 import virtual_time
 
 from router_fakes import (
-    LOST,
+    ANSWER_LOST,
     FakeAnswer,
     FakeClient,
     FakeResponder,
     admitted,
     make_call,
     make_routing,
-    refused,
+    refused_answer,
 )
 from routing_samples import call_route, plain_server
 from signaling_servers import measure_loop_lag
@@ -103,7 +103,7 @@
     )
     routing = make_routing(client, *servers, rng=random.Random(1))
     routing.retries.may_retry = may_retry or routing.retries.may_retry
-    call = PlainCall(routing, make_call(wait_s=wait_s), admitted(route))
+    call = PlainCall(routing, make_call(timeout_s=wait_s), admitted(route))
     responder = FakeResponder()
     async with asyncio.timeout(10):
         await call.serve(responder)
@@ -119,7 +119,7 @@
         splits=(Split("labels", 1.0),),
         target_latency_s=target_s,
     )
-    return PlainCall(routing, make_call(wait_s=wait_s), admitted(route)), routing
+    return PlainCall(routing, make_call(timeout_s=wait_s), admitted(route)), routing
 
 
 class TestSafe:
@@ -130,7 +130,7 @@
 
     async def test_lost_answer_is_asked_for_elsewhere(self):
         """A call that may run twice goes to another server."""
-        client = FakeClient(FakeAnswer(b"a", LOST), FakeAnswer(b"abc"))
+        client = FakeClient(FakeAnswer(b"a", ANSWER_LOST), FakeAnswer(b"abc"))
         got = await serve(client)
         assert got.body == b"abc"
         assert len({send.server.id for send in client.sends}) == 2
@@ -189,7 +189,7 @@
 
     async def test_refusals_cost_no_attempt(self):
         """Servers that have not run the call don't use up its attempts."""
-        client = FakeClient(refused(), refused(), FakeAnswer(b"abc"))
+        client = FakeClient(refused_answer(), refused_answer(), FakeAnswer(b"abc"))
         assert (await serve(client)).body == b"abc"
 
     async def test_unframed_answer_is_not_called_whole(self):
@@ -211,14 +211,14 @@
 class TestOnce:
     async def test_lost_answer_is_not_sent_again(self):
         """A call that may have run is not repeated, nor said not to have run."""
-        client = FakeClient(FakeAnswer(LOST))
+        client = FakeClient(FakeAnswer(ANSWER_LOST))
         with pytest.raises(ServiceLostError) as caught:
             await serve(client, kind=CallKind.ONCE)
         assert (len(client.sends), caught.value.ran) == (1, "maybe")
 
     async def test_refused_call_goes_elsewhere(self):
         """A server's word that nothing ran allows another send."""
-        client = FakeClient(refused(), NotSentError("no"), FakeAnswer(b"abc"))
+        client = FakeClient(refused_answer(), NotSentError("no"), FakeAnswer(b"abc"))
         got = await serve(client, kind=CallKind.ONCE, max_attempts=1)
         assert got.body == b"abc"
 
@@ -260,17 +260,24 @@
 
     async def test_answer_is_dropped_without_another_server(self):
         """The only server that is listed refuses the second send."""
-        client = FakeClient(ready_after(FakeAnswer(b"abc"), 0.4), refused())
+        client = FakeClient(ready_after(FakeAnswer(b"abc"), 0.4), refused_answer())
         got = await serve(client, wait_s=1.0, servers=SERVERS[:1])
         assert got.body == b"abc"
 
     @pytest.mark.parametrize(
         "second",
-        [asyncio.Event(), LOST, FakeAnswer(b"no", status=500), NotSentError("no")],
+        [
+            asyncio.Event(),
+            ANSWER_LOST,
+            FakeAnswer(b"no", status=500),
+            NotSentError("no"),
+        ],
     )
     async def test_answer_is_dropped_for_one_that_does_not_come(self, second):
         """A second send that fails or is silent leaves the first one's answer."""
-        client = FakeClient(ready_after(FakeAnswer(b"abc"), 0.6), second, LOST, LOST)
+        client = FakeClient(
+            ready_after(FakeAnswer(b"abc"), 0.6), second, ANSWER_LOST, ANSWER_LOST
+        )
         got = await serve(client, wait_s=1.0)
         assert (got.status, got.body) == (200, b"abc")
 
@@ -344,9 +351,9 @@
     async def test_own_standstill_is_taken_for_silence(self, for_s):
         """Nothing is sent again, and no server is reported as silent."""
         call, routing = unanswered_call(target_s=0.3, wait_s=4.0, kind=CallKind.SAFE)
-        routing.client.answers = [ready_after(FakeAnswer(b"abc"), 0.2), LOST]
+        routing.client.answers = [ready_after(FakeAnswer(b"abc"), 0.2), ANSWER_LOST]
         told = []
-        routing.tell = told.append
+        routing.broadcast_fault_report = told.append
         responder = FakeResponder()
         stand_still(after_s=0.1, for_s=for_s)
         await call.serve(responder)
@@ -425,7 +432,7 @@
     async def test_all_full(self):
         """The caller hears that nothing ran, and when to come back."""
         with pytest.raises(OverloadedError) as caught:
-            await serve(FakeClient(*(refused() for _ in range(4))))
+            await serve(FakeClient(*(refused_answer() for _ in range(4))))
         assert caught.value.ran == "no"
         assert caught.value.retry_after_s is not None
 
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -5,17 +5,17 @@
 
 import pytest
 
-from violethatch.progress import Progress
+from violethatch.silence_detection import SilenceDetector
 
 
 def progress(*, streams, gap_s=0.06):
     """Return what streams over a and b show, with events every *gap_s* until 10 s."""
-    made = Progress(longest_silence_s=0.4)
+    made = SilenceDetector(max_silence_s=0.4)
     for _ in range(streams):
-        made.began({"a", "b"}, now_s=0.0)
+        made.stream_started({"a", "b"}, now_s=0.0)
     for n in range(500):
-        made.went_on({"a", "b"}, gap_s=gap_s, now_s=10.0 - (500 - n) * 0.001)
-    made.went_on({"a", "b"}, gap_s=gap_s, now_s=10.0)
+        made.stream_continued({"a", "b"}, gap_s=gap_s, now_s=10.0 - (500 - n) * 0.001)
+    made.stream_continued({"a", "b"}, gap_s=gap_s, now_s=10.0)
     return made
 
 
@@ -24,7 +24,7 @@
     return next(
         n * 0.005
         for n in range(200)
-        if made.silent([server_id], now_s=10.0 + n * 0.005)
+        if made.silent_runners([server_id], now_s=10.0 + n * 0.005)
     )
 
 
@@ -52,19 +52,19 @@
     def test_another_stream_clears(self):
         """A runner that works for one stream works."""
         made = progress(streams=3)
-        made.began({"b"}, now_s=10.2)
-        assert made.silent(["a", "b"], now_s=10.25) == ["a"]
+        made.stream_started({"b"}, now_s=10.2)
+        assert made.silent_runners(["a", "b"], now_s=10.25) == ["a"]
 
     def test_streams_that_have_ended_miss_nothing(self):
         """Only those that still pass through a runner count."""
         made = progress(streams=9)
         for _ in range(8):
-            made.ended({"a", "b"})
+            made.stream_ended({"a", "b"})
         assert silence_s(made) == pytest.approx(0.09, abs=0.006)
 
     def test_unseen_runners(self):
         """Before its first event a stream asks who has shown nothing meanwhile."""
         made = progress(streams=1)
-        assert made.unseen(["a", "c"], since_s=9.9) == ["c"]
+        assert made.not_seen_since(["a", "c"], since_s=9.9) == ["c"]
         made.forget("a")
-        assert made.unseen(["a", "c"], since_s=9.9) == ["a", "c"]
+        assert made.not_seen_since(["a", "c"], since_s=9.9) == ["a", "c"]
--- a/tests/test_repeats_that_end_servers.py
+++ b/tests/test_repeats_that_end_servers.py
@@ -33,7 +33,7 @@
     label_server,
     model_runner,
 )
-from router_fakes import broken, events
+from router_fakes import broken_connection, events
 from routing_samples import desired_state
 from signaling_servers import measure_loop_lag
 from violethatch import clocks
@@ -202,7 +202,7 @@
 async def test_broken_answers_of_living_servers_hold_nothing_back():
     """Servers that fail answers, or connections that are reset, are no ends."""
     servers = Servers(model_runner)
-    servers.script = [events(1), broken()]
+    servers.script = [events(1), broken_connection()]
     fleet = Fleet(2, servers)
     for number in range(8):
         await fleet.ask(fleet.routers[number % 2], id=f"c{number}")
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -36,14 +36,14 @@
         client.reports["a"] = report()
         routing = make_routing(client, A, B, rng=random.Random(1))
         for server in (A, B):
-            routing.note_trouble(server, ServerFault.SILENT, "r", "dead")
+            routing.record_fault(server, ServerFault.SILENT, "r", "dead")
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing) == {"b"}
 
     async def test_silent_runner_rests_on(self):
         """No request has to find out that it is still dead."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+        routing.record_fault(A, ServerFault.SILENT, "r", "dead")
         routing.health.extend_cooldown("a", now_s=clocks.now_s() - 2.0)
         ends_s = routing.settings.bounds.stall_s - 0.01
         watch = HealthCheckLoop(routing, rng=random.Random(1))
@@ -55,7 +55,7 @@
     async def test_rests_don_t_grow_for_ever(self):
         """A runner that comes back is used again within the engines' own limit."""
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
-        routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+        routing.record_fault(A, ServerFault.SILENT, "r", "dead")
         for _ in range(9):
             await HealthCheckLoop(routing, rng=random.Random(1)).look()
         longest_s = routing.settings.bounds.stall_s + 0.1
@@ -69,14 +69,14 @@
         client = FakeClient()
         client.reports["a"] = report()
         routing = make_routing(client, A, rng=random.Random(1))
-        routing.note_trouble(A, trouble, "r", "")
+        routing.record_fault(A, trouble, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing) == {"a"}
 
     async def test_plain_servers_are_not_asked(self):
         """They give no reports."""
         routing = make_routing(FakeClient(), plain_server("p"), rng=random.Random(1))
-        routing.note_trouble(plain_server("p"), ServerFault.SILENT, "r", "")
+        routing.record_fault(plain_server("p"), ServerFault.SILENT, "r", "")
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
         assert resting(routing, in_s=routing.settings.bounds.stall_s) == set()
 
@@ -92,8 +92,8 @@
         for instances, most in ((1, 10), (80, 1)):
             asked.clear()
             routing = make_routing(AskedClient(), A, rng=random.Random(1))
-            routing.instances = lambda count=instances: count
-            routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+            routing.instance_count = lambda count=instances: count
+            routing.record_fault(A, ServerFault.SILENT, "r", "dead")
             watch = HealthCheckLoop(routing, rng=random.Random(1))
             for _ in range(6):
                 await watch.look()
@@ -120,7 +120,7 @@
             HealthCheckLoop(routing, rng=random.Random(1)).run()
         )
         for _ in range(2):
-            routing.note_trouble(A, ServerFault.SILENT, "r", "dead")
+            routing.record_fault(A, ServerFault.SILENT, "r", "dead")
             async with asyncio.timeout(5):
                 while resting(routing):
                     await asyncio.sleep(0.01)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -48,7 +48,7 @@
     def test_known_loads_are_shown(self):
         """Operators see how many instances' loads are known, and how old that is."""
         made = router(proof_age_s=0.0)
-        made.show_state()
+        made.update_metrics()
         gauge = made.metrics.instances_summed
         assert gauge.get({}) == 1
         assert made.metrics.load_age_s.get({}) == -1.0
@@ -99,7 +99,7 @@
         admission.section = AdmissionSection(mode=AdmissionMode.ON)
         admission.take_desired(made.desired)
         admission.returns = Reserved()
-        made.show_state()
+        made.update_metrics()
         gauge = made.metrics.admission_reserved
         [service] = made.state()["admission"]
         assert gauge.get({"service": service}) == 2
@@ -191,7 +191,7 @@
         made.take_desired(view_of(config(1)), True)
         older = made.desired
         view = view_of(config(2, routes=1_000))
-        taking = asyncio.create_task(made.take_desired_in_slices(view, False))
+        taking = asyncio.create_task(made.apply_desired_state_in_slices(view, False))
         seen = []
         while not taking.done():
             seen.append(made.desired)
@@ -209,7 +209,7 @@
         state = json.loads(config(2, routes=500))
         state["Routes"][-1]["TimeoutMs"] = "soon"
         value = json.dumps(state).encode()
-        await made.take_desired_in_slices(view_of(value), False)
+        await made.apply_desired_state_in_slices(view_of(value), False)
         assert made.desired is older
         assert made.metrics.rows_refused.get({"table": "desired state"}) == 1
 
@@ -217,7 +217,9 @@
         """A removed key stays removed, whatever is read later."""
         made = empty_router(WireDecoder())
         made.take_desired(view_of(config(2)), True)
-        await made.take_desired_in_slices(view_of(config(1, keys=("old",))), True)
+        await made.apply_desired_state_in_slices(
+            view_of(config(1, keys=("old",))), True
+        )
         assert made.desired.version == 2
         assert set(made.desired.workspaces_by_key) == {"key-1"}
 
@@ -229,7 +231,7 @@
         )
         monkeypatch.setattr(slices, "SLICE_S", 0.0)
         made = empty_router(WireDecoder())
-        await made.take_desired_in_slices(view_of(config(1, routes=320)), True)
+        await made.apply_desired_state_in_slices(view_of(config(1, routes=320)), True)
         (line,) = [one for one in logged if one["number"] == 2401]
         # The row, its routes by 32, the end, and admission.
         assert line["slices"] == 13
@@ -257,5 +259,5 @@
         )
         made = empty_router(WireDecoder())
         made.desired = desired_state()._replace(version=1, routes=Freed())
-        await made.take_desired_in_slices(view_of(config(2)), True)
+        await made.apply_desired_state_in_slices(view_of(config(2)), True)
         assert seen == ["turn", "freed"]
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from violethatch import Candidate, LayerRange, MarginalCost, tiles
-from violethatch.routes import LeastInFlightHops, RandomHops, RoundRobinHops
+from violethatch.routes import MinInFlightHops, RandomHops, RoundRobinHops
 
 
 def runner(name, first, end, *, peak=100.0, quickest_s=0.01, own=0, others=0):
@@ -28,7 +28,7 @@
     MarginalCost(),
     RandomHops(random.Random(1)),
     RoundRobinHops(),
-    LeastInFlightHops(),
+    MinInFlightHops(),
 ]
 RANGES = st.tuples(st.integers(0, 5), st.integers(1, 6)).filter(lambda x: x[0] < x[1])
 
--- a/tests/test_runs_beside.py
+++ b/tests/test_runs_beside.py
@@ -197,7 +197,7 @@
         """An order that is under way does not keep the caller beyond the deadline."""
         client = self.slow_client(events(1), asyncio.Event())
         routing = make_routing(client, HEAD, TAIL, SPARE, rng=random.Random(1))
-        stream = StreamCall(routing, make_call(wait_s=0.4), admitted())
+        stream = StreamCall(routing, make_call(timeout_s=0.4), admitted())
         began_s = clocks.now_s()
         await serve(stream, FakeResponder())
         assert clocks.now_s() - began_s < 0.9
--- a/tests/test_server_ends.py
+++ b/tests/test_server_ends.py
@@ -26,11 +26,11 @@
     async def test_server_that_refuses_connections_has_ended(self):
         """Nobody listens where its process was; it is asked once."""
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         found = ends(client, A)
         assert await found.has_ended(A)
         assert await found.has_ended(A)
-        assert client.looked == ["a"]
+        assert client.checked_ids == ["a"]
 
     async def test_server_that_takes_connections_goes_on(self):
         """A broken answer alone says nothing of its server."""
@@ -44,7 +44,7 @@
         for number in (1, 2):
             assert not await found.has_ended(A)
             found.doubt(A, [end("a", of=work(number))])
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         await asyncio.sleep(0.2)
         ended = [end("a", of=work(1)), end("a", of=work(2))]
         assert proven == [(A, ended, "recheck")]
@@ -58,7 +58,7 @@
             assert not await found.has_ended(A)
             found.doubt(A, [end("a", of=work(number))])
         await asyncio.sleep(0.5)
-        assert (len(client.looked), proven) == (3, [])
+        assert (len(client.checked_ids), proven) == (3, [])
 
     async def test_end_while_links_are_lost_is_proven_at_their_return(self):
         """Nobody answers at first, as where all servers have ended."""
@@ -68,7 +68,7 @@
             return state
 
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         found = ServerEnds(client, listed={"a": A}.get, link_state=link_state)
         proven = []
         found.on_proven = lambda *told: proven.append(told)
@@ -90,7 +90,7 @@
         found = ServerEnds(client, listed=listed.get, link_state=link_state)
         proven = []
         found.on_proven = lambda *told: proven.append(told)
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         for one in (A, B):
             assert not await found.has_ended(one)
             found.doubt(one, [end(one.id)])
@@ -102,7 +102,7 @@
     async def test_entry_that_lapsed_while_the_store_was_away_proves_no_end(self):
         """Servers can't renew their entries then, and go on."""
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         routing = make_routing(client, A, rng=random.Random(1))
         routing.link_watch.is_active = True
         assert not await routing.ends.has_ended(A)
@@ -116,27 +116,27 @@
     async def test_requests_that_break_together_share_a_look(self):
         """A server's end breaks all its requests at once."""
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         found = ends(client, A)
         told = await asyncio.gather(*(found.has_ended(A) for _ in range(50)))
         assert all(told)
-        assert client.looked == ["a"]
+        assert client.checked_ids == ["a"]
 
     async def test_planned_ends_are_none(self):
         """Who is leaving, or listed no more, ends as planned."""
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         assert not await ends(client).has_ended(A)
         assert not await ends(client, A._replace(is_leaving=True)).has_ended(A)
-        assert client.looked == []
+        assert client.checked_ids == []
 
     async def test_new_start_is_another_lifetime(self):
         """The same id, started again, is looked at anew."""
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         found = ends(client, A)
         assert await found.has_ended(A._replace(started_ms=1))
-        client.refusing = set()
+        client.refusing_ids = set()
         assert not await found.has_ended(A._replace(started_ms=2))
 
     async def test_listed_new_start_is_the_end_of_the_one_before(self):
@@ -144,7 +144,7 @@
         client = FakeClient()
         again = A._replace(started_ms=2)
         assert await ends(client, again).has_ended(A._replace(started_ms=1))
-        assert client.looked == []
+        assert client.checked_ids == []
 
     async def test_planned_new_start_is_no_end(self):
         """It had said before that it leaves."""
--- a/tests/test_silent_runs_replay.py
+++ b/tests/test_silent_runs_replay.py
@@ -20,7 +20,7 @@
     FakeClient,
     FakeResponder,
     admitted,
-    broken,
+    broken_connection,
     events,
     make_call,
     report,
@@ -108,7 +108,7 @@
             while left_s := self.fleet.left_s(self._on_path()):
                 await asyncio.sleep(max(left_s, 0.001))
             if self._on_path() & self.fleet.ended:
-                raise broken()
+                raise broken_connection()
             yield events(number)
 
     def _on_path(self):
@@ -119,13 +119,13 @@
     """Serve streams while something stands still; return what came of them."""
     fleet = Fleet()
     routing = Routing(router_settings(), fleet, random.Random(1))
-    routing.take_settings(routing.settings._replace(policy=_deployed_policy()))
+    routing.apply_settings(routing.settings._replace(policy=_deployed_policy()))
     routing.backends.apply_changes(RUNNERS.values(), [], now_s=clocks.now_s())
     allowed = admitted(call_route(is_resumable=is_resumable))
     got, calls = [], []
     for number in range(STREAMS):
         responder = FakeResponder()
-        call = make_call(id=f"c{number}", wait_s=20.0)
+        call = make_call(id=f"c{number}", timeout_s=20.0)
         stream = StreamCall(routing, call, allowed)
         got.append(responder)
         calls.append(asyncio.create_task(stream.serve(responder)))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -11,7 +11,7 @@
 import pytest
 
 from router_fakes import (
-    LOST,
+    ANSWER_LOST,
     FakeAnswer,
     FakeClient,
     FakeResponder,
@@ -19,7 +19,7 @@
     events,
     make_call,
     make_routing,
-    refused,
+    refused_answer,
     report,
 )
 from routing_samples import call_route, runner
@@ -104,7 +104,7 @@
     async def test_cut_stream_goes_on_elsewhere(self):
         """After a cut the next run starts after the last whole event."""
         client = FakeClient(
-            FakeAnswer(events(1, 2) + b"id: 3\nda", LOST),
+            FakeAnswer(events(1, 2) + b"id: 3\nda", ANSWER_LOST),
             FakeAnswer(events(3, 4), headers=(("Proof", "two"),)),
         )
         got, _ = await serve(client, A, B)
@@ -120,13 +120,13 @@
 
     async def test_stream_that_may_not_be_resumed_is_cut(self):
         """Without leave to resume, the caller sees the cut."""
-        client = FakeClient(FakeAnswer(events(1), LOST))
+        client = FakeClient(FakeAnswer(events(1), ANSWER_LOST))
         got, _ = await serve(client, A, B, route=call_route(is_resumable=False))
         assert (got.end, len(client.sends)) == ("cut", 1)
 
     async def test_attempts_are_bounded(self):
         """No more runs than the route allows."""
-        client = FakeClient(*(FakeAnswer(events(n), LOST) for n in (1, 2, 3)))
+        client = FakeClient(*(FakeAnswer(events(n), ANSWER_LOST) for n in (1, 2, 3)))
         got, _ = await serve(client, A, B)
         assert (got.end, len(client.sends)) == ("cut", 2)
 
@@ -142,20 +142,20 @@
     async def test_unframed_end_of_a_resumed_run_is_no_end(self):
         """A framed answer is not called whole by a run whose end is unsure."""
         client = FakeClient(
-            FakeAnswer(events(1), LOST), FakeAnswer(events(2), is_framed=False)
+            FakeAnswer(events(1), ANSWER_LOST), FakeAnswer(events(2), is_framed=False)
         )
         got, _ = await serve(client, A, B)
         assert got.end == "cut"
 
     async def test_budget_is_asked(self):
         """Without a retry in the budget the stream is cut."""
-        client = FakeClient(FakeAnswer(events(1), LOST), FakeAnswer(events(2)))
+        client = FakeClient(FakeAnswer(events(1), ANSWER_LOST), FakeAnswer(events(2)))
         got, _ = await serve(client, A, B, retry_reserve=1, retry_part=0)
         assert got.end == "whole"
         routing = make_routing(client, A, B, rng=random.Random(1), retry_part=0)
         while await routing.retries.may_retry("model"):
             pass
-        client.answers = [FakeAnswer(events(1), LOST), FakeAnswer(events(2))]
+        client.answers = [FakeAnswer(events(1), ANSWER_LOST), FakeAnswer(events(2))]
         responder = FakeResponder()
         await StreamCall(routing, make_call(), admitted()).serve(responder)
         assert responder.end == "cut"
@@ -164,21 +164,24 @@
 class TestRefused:
     async def test_refusal_goes_to_another_runner(self):
         """A refused request has not run and is sent elsewhere."""
-        client = FakeClient(refused(), FakeAnswer(events(1)))
+        client = FakeClient(refused_answer(), FakeAnswer(events(1)))
         got, _ = await serve(client, A, B)
         assert (got.end, [s.server.id for s in client.sends]) == ("whole", ["a", "b"])
 
     async def test_begun_stream_waits_for_room(self):
         """A stream under way is not cut for one refusal."""
         client = FakeClient(
-            FakeAnswer(events(1), LOST), refused(), refused(), FakeAnswer(events(2))
+            FakeAnswer(events(1), ANSWER_LOST),
+            refused_answer(),
+            refused_answer(),
+            FakeAnswer(events(2)),
         )
         got, _ = await serve(client, A, B)
         assert (got.end, got.body) == ("whole", events(1, 2))
 
     async def test_named_runner_is_left_alone(self):
         """The runner at fault rests, not the one that was asked."""
-        client = FakeClient(refused(address=TAIL.address), FakeAnswer(events(1)))
+        client = FakeClient(refused_answer(address=TAIL.address), FakeAnswer(events(1)))
         got, routing = await serve(client, HEAD, TAIL, SPARE)
         assert got.end == "whole"
         ids = [stage.server.id for stage in client.sends[1].path.stages]
@@ -187,7 +190,7 @@
 
     async def test_refused_by_all_is_a_true_refusal(self):
         """The caller hears that nothing ran, and when to come back."""
-        client = FakeClient(*(refused() for _ in range(9)))
+        client = FakeClient(*(refused_answer() for _ in range(9)))
         with pytest.raises(OverloadedError) as caught:
             await serve(client, A, B)
         assert caught.value.ran == "no"
@@ -203,7 +206,7 @@
 
     async def test_lost_first_run_waits_for_a_path(self):
         """Its caller could not be told that it has not run, and to come back."""
-        client = FakeClient(LOST, FakeAnswer(events(1)))
+        client = FakeClient(ANSWER_LOST, FakeAnswer(events(1)))
         routing = make_routing(client, A, B, rng=random.Random(1))
         routing.health.record_fault("b", ServerFault.SILENT, now_s=clocks.now_s() - 2.7)
         responder = FakeResponder()
@@ -219,7 +222,7 @@
 
     async def test_refusal_after_a_run_is_no_refusal(self):
         """Once a run may have begun, it is not said that nothing ran."""
-        client = FakeClient(LOST, *(refused() for _ in range(9)))
+        client = FakeClient(ANSWER_LOST, *(refused_answer() for _ in range(9)))
         with pytest.raises(PipelineFailedError) as caught:
             await serve(client, A, B, retry_reserve=20)
         assert caught.value.ran == "maybe"
@@ -369,7 +372,7 @@
         async with asyncio.timeout(5):
             while not client.sends:
                 await asyncio.sleep(0.001)
-            routing.note_trouble(TAIL, ServerFault.NAMED, "another", "waits")
+            routing.record_fault(TAIL, ServerFault.NAMED, "another", "waits")
             await task
         assert [s.server.id for s in client.repaths[0][2].stages] == ["head", "spare"]
 
@@ -454,12 +457,18 @@
         assert first.closed is False
 
     @pytest.mark.parametrize(
-        "second", [refused(), LOST, NotSentError("refused"), FakeAnswer(status=500)]
+        "second",
+        [
+            refused_answer(),
+            ANSWER_LOST,
+            NotSentError("refused"),
+            FakeAnswer(status=500),
+        ],
     )
     async def test_failed_second_run_cuts_the_first(self, second):
         """The first one is there all the time."""
         client = FakeClient(FakeAnswer(events(1), 0.6, events(2)), second)
-        client.answers += [refused()] * 4
+        client.answers += [refused_answer()] * 4
         got, _ = await serve(client, A, B)
         assert (got.end, got.body) == ("whole", events(1, 2))
 
@@ -479,16 +488,16 @@
             FakeAnswer(events(1), asyncio.Event()),
             FakeAnswer(events(2), asyncio.Event()),
         )
-        client.refusing = {"a", "b"}
+        client.refusing_ids = {"a", "b"}
         started_s = clocks.now_s()
-        got, _ = await serve(client, A, B, call=make_call(wait_s=8.0))
+        got, _ = await serve(client, A, B, call=make_call(timeout_s=8.0))
         assert (got.end, got.body) == ("cut", events(1, 2))
         assert clocks.now_s() - started_s < 2.0
 
     async def test_deadline_is_over(self):
         """A silent run is not waited for beyond the caller's time."""
         client = FakeClient(FakeAnswer(events(1), asyncio.Event()))
-        got, _ = await serve(client, A, call=make_call(wait_s=0.5))
+        got, _ = await serve(client, A, call=make_call(timeout_s=0.5))
         assert got.end == "cut"
 
     async def test_forwarded_run_counts_for_no_further_one(self, monkeypatch):
@@ -632,7 +641,7 @@
 
     async def test_repeated_send_goes_to_none_of_them(self):
         """Retries are not spent on who has just refused."""
-        client = FakeClient(refused(), FakeAnswer(events(1)))
+        client = FakeClient(refused_answer(), FakeAnswer(events(1)))
         with pytest.raises(OverloadedError):
             await serve(client, A)
         assert len(client.sends) == 1
@@ -693,7 +702,7 @@
 
     async def test_last_run_is_waited_for(self):
         """Where no further run is allowed, late is better than never."""
-        client = FakeClient(LOST, FakeAnswer(0.3, events(1)))
+        client = FakeClient(ANSWER_LOST, FakeAnswer(0.3, events(1)))
         for name in ("a", "b"):
             client.reports[name] = report()
         got, _ = await serve(client, A, B, silence_limit_s=5.0)
@@ -732,7 +741,7 @@
         await asyncio.sleep(0.02)
         again = TAIL._replace(started_ms=7, layers=None)
         started_s = clocks.now_s()
-        routing.take_restarted([TAIL])
+        routing.handle_restarts([TAIL])
         routing.backends.apply_changes([again], [], now_s=started_s)
         async with asyncio.timeout(2):
             await serving
@@ -750,7 +759,7 @@
         responder = FakeResponder()
         serving = asyncio.create_task(stream.serve(responder))
         await asyncio.sleep(0.02)
-        routing.take_restarted([SPARE])
+        routing.handle_restarts([SPARE])
         await serving
         assert (responder.end, client.repaths) == ("whole", [])
 
@@ -760,6 +769,6 @@
         now_s = clocks.now_s()
         routing.health.record_fault("a", ServerFault.SILENT, now_s=now_s)
         routing.paces.record("a", 9.0, now_s=now_s)
-        routing.take_restarted([A])
+        routing.handle_restarts([A])
         assert not routing.health.in_cooldown(now_s=now_s)
         assert not routing.paces.slow(now_s=now_s)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -18,7 +18,7 @@
     events,
     make_call,
     make_routing,
-    refused,
+    refused_answer,
     report,
 )
 from routing_samples import runner
@@ -300,7 +300,7 @@
         """Only what reaches a server is paid for."""
         a, b = runner("a", 0, 80, kind="large"), runner("b", 0, 80)
         client = FakeClient(
-            refused(), KeptBackError("rest", 1.0), FakeAnswer(events(1))
+            refused_answer(), KeptBackError("rest", 1.0), FakeAnswer(events(1))
         )
         routing = make_routing(client, a, b, rng=random.Random(1), retry_reserve="5")
         before = routing.retries.budget("model").own.balance
@@ -331,7 +331,7 @@
         routing = make_routing(FakeClient(), head, tail, all_, rng=random.Random(1))
         routing.flow_control.record_signals(head, REST, "c0")
         refusal = Refusal(tail.address, False, REST)
-        routing.note_refusal("tail", refusal, "c0", is_told_by_other=True)
+        routing.record_refusal("tail", refusal, "c0", is_told_by_other=True)
         assert set(routing.flow_control.blocked_s(now_s=clocks.now_s())) == {
             "head",
             "tail",
@@ -442,9 +442,9 @@
         """What was asked for counts where it is longer than the guess."""
         a = runner("a", 0, 80)
         routing = make_routing(FakeClient(), a, rng=random.Random(1))
-        routing.note_refusal("a", Refusal(None, False), "c1")
+        routing.record_refusal("a", Refusal(None, False), "c1")
         routing.flow_control.record_signals(a, REST, "c2")
-        routing.note_refusal("a", Refusal(None, False, REST), "c2")
+        routing.record_refusal("a", Refusal(None, False, REST), "c2")
         first, second = lines_of(lines, log_events.SERVER_REFUSED)
         assert (first["rest_s"], first["rested_s"]) == (0.3, 0.0)
         assert second["rest_s"] == pytest.approx(30.0, abs=0.1)
--- a/tests/test_work_in_hand.py
+++ b/tests/test_work_in_hand.py
@@ -105,7 +105,7 @@
         routing = make_routing(client, A, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(A, has_begun=False)
         assert not routing.suspects
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         routing.ends._connected_s.clear()
         assert await work_in_hand(routing).lost(A, has_begun=False)
         assert work_in_hand(routing).suspected_trait is not None
@@ -120,7 +120,7 @@
         """
         runners = [runner(f"r{n}", 10 * n, 10 * n + 10) for n in range(8)]
         client = FakeClient()
-        client.refusing = {one.id for one in runners}
+        client.refusing_ids = {one.id for one in runners}
         routing = make_routing(client, *runners, rng=random.Random(1))
         work = work_in_hand(routing)
         now_s = clocks.now_s()
@@ -130,7 +130,7 @@
     async def test_server_that_had_ended_before_is_put_down_to_others(self):
         """It came to a path that was broken already."""
         client = FakeClient()
-        client.refusing = {"a"}
+        client.refusing_ids = {"a"}
         routing = make_routing(client, A, rng=random.Random(1))
         assert await routing.ends.has_ended(A)
         work = work_in_hand(routing)
@@ -145,7 +145,7 @@
         work = work_in_hand(routing)
         assert not await work.lost(before, has_begun=False)
         assert not routing.suspects
-        routing.take_restarted([before])
+        routing.handle_restarts([before])
         assert [end.lifetime for end in routing.suspects.ends(work.id)] == ["a/1"]
 
     async def test_planned_new_start_is_put_down_to_nobody(self):
@@ -153,7 +153,7 @@
         before = A._replace(started_ms=1)
         routing = make_routing(FakeClient(), before, rng=random.Random(1))
         assert not await work_in_hand(routing).lost(before, has_begun=False)
-        routing.take_restarted([before._replace(is_leaving=True)])
+        routing.handle_restarts([before._replace(is_leaving=True)])
         assert not routing.suspects
 
     async def test_new_start_long_after_is_put_down_to_nobody(self, monkeypatch):
@@ -163,7 +163,7 @@
         assert not await work_in_hand(routing).lost(before, has_begun=False)
         now_s = clocks.now_s()
         monkeypatch.setattr(clocks, "now_s", lambda: now_s + 60.0)
-        routing.take_restarted([before])
+        routing.handle_restarts([before])
         assert not routing.suspects
 
     def test_only_what_was_held_is_stored_again(self):
@@ -171,7 +171,7 @@
         kept = []
         for lifetimes in ("ab", "abc"):
             routing = make_routing(FakeClient(), A, rng=random.Random(1))
-            routing.keep_hold = kept.append
+            routing.store_hold = kept.append
             noted(routing, *lifetimes)
             work_in_hand(routing).answered()
             assert not routing.suspects
