--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -212,7 +212,7 @@
 
         Args:
             blocked_s: How long what blocks the caller is thought to last, in seconds.
-            asked_s: Until when servers have asked for rest, in seconds.
+            requested_backoff_s: Until when servers have asked for rest, in seconds.
         """
         return come_back_s(blocked_s, asked_s=requested_backoff_s, rng=self._rng)
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -167,20 +167,20 @@
         """A store that is back, or has lost its history, has the whole table read."""
         decoder = CountingDecoder()
         made = empty_router(decoder)
-        made.take_desired(view_of(config(3)), True)
+        made.apply_desired_state(view_of(config(3)), True)
         in_force = made.desired
-        made.take_desired(view_of(config(3)), True)
+        made.apply_desired_state(view_of(config(3)), True)
         assert made.desired is in_force
         assert decoder.reads == 1
 
     def test_state_in_force_is_proven_again_after_one_that_is_refused(self):
         """Guards against doubt that lasts once the row is as it was."""
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(3)), True)
-        made.take_desired(view_of(b"{"), False)
+        made.apply_desired_state(view_of(config(3)), True)
+        made.apply_desired_state(view_of(b"{"), False)
         made.freshness.proven(clocks.now_s())
         assert not made.freshness.is_fresh(now_s=clocks.now_s())
-        made.take_desired(view_of(config(3)), False)
+        made.apply_desired_state(view_of(config(3)), False)
         made.freshness.proven(clocks.now_s())
         assert made.freshness.is_fresh(now_s=clocks.now_s())
 
@@ -188,7 +188,7 @@
         """Others run meanwhile, and see the older state whole."""
         monkeypatch.setattr(slices, "SLICE_S", 0.0)
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(1)), True)
+        made.apply_desired_state(view_of(config(1)), True)
         older = made.desired
         view = view_of(config(2, routes=1_000))
         taking = asyncio.create_task(made.apply_desired_state_in_slices(view, False))
@@ -204,7 +204,7 @@
     async def test_route_that_cannot_be_read_late_in_a_state(self):
         """Guards against a state of which the first part is in force."""
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(1)), True)
+        made.apply_desired_state(view_of(config(1)), True)
         older = made.desired
         state = json.loads(config(2, routes=500))
         state["Routes"][-1]["TimeoutMs"] = "soon"
