--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -216,7 +216,7 @@
     async def test_older_state_replaces_a_newer_one(self):
         """A removed key stays removed, whatever is read later."""
         made = empty_router(WireDecoder())
-        made.take_desired(view_of(config(2)), True)
+        made.apply_desired_state(view_of(config(2)), True)
         await made.apply_desired_state_in_slices(
             view_of(config(1, keys=("old",))), True
         )
