--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -89,8 +89,8 @@
     step_ms=1.02,
     per_sequence_ms=0.00764,
     context_per_k_ms=0.01024,
-    read_tokens_per_s=196_000.0,
-    pairs_per_m_ms=0.166,
+    prefill_tokens_per_s=196_000.0,
+    attention_ms_per_m_pairs=0.166,
     chunk_tokens=512,
     usual_prompt_tokens=775.0,
     usual_answer_tokens=219.0,
@@ -102,8 +102,8 @@
     },
     zone_delay_ms={},
     activation_bytes=49_200.0,
-    pipe_mbps=6_640.0,
-    stride_tokens=5.0,
+    zone_link_mbps=6_640.0,
+    tokens_per_step=5.0,
 )
 
 
--- a/bench/brief_measures.py
+++ b/bench/brief_measures.py
@@ -140,8 +140,8 @@
         step_ms=llm["step_ms"],
         per_sequence_ms=llm["step_ms_per_slot"] / thin,
         context_per_k_ms=llm["context_ms_per_k"] / thin,
-        read_tokens_per_s=llm["prefill_tokens_per_ms"] * 1000.0,
-        pairs_per_m_ms=llm["pairs_ms_per_m"],
+        prefill_tokens_per_s=llm["prefill_tokens_per_ms"] * 1000.0,
+        attention_ms_per_m_pairs=llm["pairs_ms_per_m"],
         chunk_tokens=llm["chunk"],
         usual_prompt_tokens=prompt,
         usual_answer_tokens=pieces * llm.get("stride", 1),
@@ -152,7 +152,7 @@
         },
         zone_delay_ms={},
         activation_bytes=joint["act_bytes"] / thin,
-        pipe_mbps=joint["pipe_mbps"],
+        zone_link_mbps=joint["pipe_mbps"],
     )
 
 
--- a/bench/decision_costs.py
+++ b/bench/decision_costs.py
@@ -117,7 +117,7 @@
         flow_control=FlowController(backends, rng=random.Random(1)),
         paces=SlowRunners(),
         loads=loads,
-        pipe=PipeShare(random.Random(1)),
+        zone_link=PipeShare(random.Random(1)),
         instances=lambda: instances,
     )
     choice.zone_position = lambda: ZonePosition(0.5, max(1, instances // 3))
--- a/src/violethatch/_chains.py
+++ b/src/violethatch/_chains.py
@@ -80,7 +80,7 @@
 
 
 def best_chains(
-    hosts: Sequence[Host], engine: EngineSpec, *, known: KnownSplits | None = None
+    hosts: Sequence[Host], engine: EngineSpec, *, split_cache: KnownSplits | None = None
 ) -> list[Chain]:
     """Return the chains of a group that serve the most requests a second.
 
@@ -89,7 +89,7 @@
         engine: The engine's figures.
         known: Splits that were found before, for the same engine; it is added to.
     """
-    splits = {} if known is None else known
+    splits = {} if split_cache is None else split_cache
     best: list[Chain] = []
     best_rate = 0.0
     for count in range(1, len(hosts) + 1):
--- a/src/violethatch/_flow_control.py
+++ b/src/violethatch/_flow_control.py
@@ -18,7 +18,7 @@
 from ._limit_enforcement import LimitGate
 from .backends import BackendServer, BackendTable
 from .limit_permits import Permit
-from .server_backoffs import Rest, ServerBackoffs
+from .server_backoffs import Backoff, ServerBackoffs
 from .server_limits import Limit
 from .upstream import KeptBackError, SendKind, ServerSignals
 
@@ -34,7 +34,7 @@
 
     reason: str
     left_s: float = 0.0
-    rest: Rest | None = None
+    rest: Backoff | None = None
     limit: Limit | None = None
 
 
@@ -305,7 +305,7 @@
             {
                 "server_id": server_id,
                 "left_s": round(left_s, 3),
-                "asked_s": known[server_id].asked_s,
+                "asked_s": known[server_id].requested_s,
                 "said_to": known[server_id].request_id,
             }
             for server_id, left_s in self.rests(now_s=clocks.now_s()).items()
@@ -334,7 +334,7 @@
         rests = self.rests(now_s=clocks.now_s())
         return {one: round(left_s, 3) for one, left_s in rests.items()}
 
-    def _is_its_word(self, server_id: str, rest: Rest) -> bool:
+    def _is_its_word(self, server_id: str, rest: Backoff) -> bool:
         """Tell whether a rest is the word of a listed server's present start."""
         server = self._backends.get(server_id)
         return server is not None and rest.is_of(server.started_ms)
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -154,7 +154,7 @@
         flow_control: FlowController,
         paces: SlowRunners,
         loads: StreamLoads,
-        pipe: PipeShare,
+        zone_link: PipeShare,
         instances: Callable[[], int],
     ) -> None:
         self._zone = zone
@@ -163,7 +163,7 @@
         self._gate = flow_control
         self._paces = paces
         self._loads = loads
-        self._pipe = pipe
+        self._pipe = zone_link
         self._instances = instances
         self._unseen = UnreportedStreams()
         self._maps: dict[str, _Maps] = {}
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -8,11 +8,11 @@
 from ._fault_report_link import FaultReportLink
 from ._limit_link import LimitLink
 from ._load_link import LoadLink
-from ._pace_link import PaceLink
 from ._peer_datagrams import PeerDatagrams
 from ._retry_link import RetryLink
 from ._return_link import ReturnLink
 from ._router import Router
+from ._slow_runner_link import SlowRunnerLink
 from .suspicion import SuspectLink
 
 
@@ -32,7 +32,7 @@
         self._router = router
         self._sightings = FaultReportLink(datagrams, router.routing.peer_fault_reports)
         self._sightings.started_ms = router.routing.started_ms
-        self._paces = PaceLink(datagrams, router.routing.paces)
+        self._paces = SlowRunnerLink(datagrams, router.routing.paces)
         self._retries = RetryLink(datagrams, router.routing.retries, rng=rng)
         self._suspects = SuspectLink(datagrams, router.routing.suspects)
         self._returns = ReturnLink(datagrams, rng=rng)
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -444,7 +444,7 @@
 
     def handle_store_recovery(self) -> None:
         """Note that the list may be incomplete for a while."""
-        self.routing.backends.store_returned(now_s=clocks.now_s())
+        self.routing.backends.record_store_recovery(now_s=clocks.now_s())
 
     def apply_settings(self, settings: RouterSettings) -> None:
         """Take changed settings in; own addresses stay until the next start."""
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -133,7 +133,7 @@
             flow_control=self.flow_control,
             paces=self.paces,
             loads=self.loads,
-            pipe=PipeShare(rng),
+            zone_link=PipeShare(rng),
             instances=lambda: self.instance_count(),
         )
         self.admission = Admission(
--- a/src/violethatch/_services.py
+++ b/src/violethatch/_services.py
@@ -198,7 +198,7 @@
             raise ServiceLostError(msg) from error
         if answer.status == _UNAVAILABLE and _NOT_STARTED_HEADER in answer.headers:
             rest = self._words.active(server["id"], now_s=clocks.now_s())
-            rest_s = rest.asked_s if rest is not None else _RETRY_AFTER_S
+            rest_s = rest.requested_s if rest is not None else _RETRY_AFTER_S
             raise ServerRefusedError(server["id"], retry_after_s=rest_s)
         content_type = answer.headers.get("Content-Type", "application/octet-stream")
         return Answer(answer.status, content_type, body)
--- a/src/violethatch/_pace_link.py
+++ b/src/violethatch/_slow_runner_link.py
@@ -12,7 +12,7 @@
 _MAX_DATAGRAMS_PER_S = 5
 
 
-class PaceLink:
+class SlowRunnerLink:
     """Broadcasts the reports of slow runners and receives those of other instances.
 
     Args:
--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -48,14 +48,14 @@
         engine: The engine's figures.
     """
     known: KnownSplits = {}
-    dealt = best_chains(hosts, engine, known=known)
+    dealt = best_chains(hosts, engine, split_cache=known)
     if not dealt:
         return []
     options = [dealt]
     ordered = sorted(hosts, key=lambda one: speed_sort_key(one, engine))
     for size in _first_tier_sizes(ordered, engine, known):
-        first = best_chains(ordered[:size], engine, known=known)
-        behind = best_chains(ordered[size:], engine, known=known)
+        first = best_chains(ordered[:size], engine, split_cache=known)
+        behind = best_chains(ordered[size:], engine, split_cache=known)
         options.append(
             [one for one in (*first, *behind) if one.concurrent_requests >= _LEAST_ROOM]
         )
@@ -93,7 +93,7 @@
 ) -> list[int]:
     """Return how many of the quickest hosts to try as the first tier."""
     for least in range(1, len(ordered)):
-        if best_chains(ordered[:least], engine, known=known):
+        if best_chains(ordered[:least], engine, split_cache=known):
             sizes = {round(least * part) for part in _TIER_SIZES}
             return sorted(size for size in sizes if size < len(ordered))
     return []
--- a/src/violethatch/backends.py
+++ b/src/violethatch/backends.py
@@ -89,7 +89,7 @@
         """Return a server, or None if it is not listed."""
         return self._servers.get(server_id)
 
-    def store_returned(self, *, now_s: float) -> None:
+    def record_store_recovery(self, *, now_s: float) -> None:
         """Record that the store has recovered from an outage."""
         self._store_recovered_s = now_s
 
--- a/src/violethatch/engine_model.py
+++ b/src/violethatch/engine_model.py
@@ -49,8 +49,8 @@
     step_ms: float
     per_sequence_ms: float
     context_per_k_ms: float
-    read_tokens_per_s: float
-    pairs_per_m_ms: float
+    prefill_tokens_per_s: float
+    attention_ms_per_m_pairs: float
     chunk_tokens: int
     usual_prompt_tokens: float
     usual_answer_tokens: float
@@ -58,9 +58,9 @@
     kinds: Mapping[str, AcceleratorKind]
     zone_delay_ms: Mapping[tuple[str, str], float]
     activation_bytes: float
-    pipe_mbps: float
+    zone_link_mbps: float
     #: Tokens that one pass makes, and that come in one event.
-    stride_tokens: float = 1.0
+    tokens_per_step: float = 1.0
     #: Loads that the store of weights serves at full rate; 0 where that is not stated.
     max_concurrent_loads: int = 0
 
@@ -71,10 +71,10 @@
     @property
     def zone_transfer_ms(self) -> float:
         """How long a usual prompt takes up the pipe between zones, in ms."""
-        if self.pipe_mbps <= 0:
+        if self.zone_link_mbps <= 0:
             return 0.0
         bits = self.usual_prompt_tokens * self.activation_bytes * 8
-        return bits / (self.pipe_mbps * _BITS_PER_MBIT) / _PER_K
+        return bits / (self.zone_link_mbps * _BITS_PER_MBIT) / _PER_K
 
     @property
     def kv_layer_token_mb(self) -> float:
@@ -102,8 +102,8 @@
 
     def prefill_ms(self, kind: AcceleratorKind, layers: int, tokens: float) -> float:
         """Return how long reading a prompt over some layers takes, in ms."""
-        pairs_ms = tokens * tokens * _PER_M * self.pairs_per_m_ms
-        whole_ms = tokens / self.read_tokens_per_s / _PER_K + pairs_ms
+        pairs_ms = tokens * tokens * _PER_M * self.attention_ms_per_m_pairs
+        whole_ms = tokens / self.prefill_tokens_per_s / _PER_K + pairs_ms
         return whole_ms * kind.prefill_factor * layers / self.layer_count
 
     def usual_prefill_ms(self, kind: AcceleratorKind, layers: int) -> float:
--- a/src/violethatch/platform/_desired_row.py
+++ b/src/violethatch/platform/_desired_row.py
@@ -158,8 +158,8 @@
             step_ms=self.step_ms,
             per_sequence_ms=self.per_seq_ms,
             context_per_k_ms=self.context_per_k,
-            read_tokens_per_s=self.read_per_s,
-            pairs_per_m_ms=self.pairs_per_m,
+            prefill_tokens_per_s=self.read_per_s,
+            attention_ms_per_m_pairs=self.pairs_per_m,
             chunk_tokens=self.chunk,
             usual_prompt_tokens=self.usual.prompt,
             usual_answer_tokens=self.usual.answer,
@@ -169,9 +169,9 @@
                 for one in self.kinds
             },
             activation_bytes=self.act_bytes,
-            pipe_mbps=self.pipe_mbps,
+            zone_link_mbps=self.pipe_mbps,
             zone_delay_ms={(one.start, one.end): one.delay_ms for one in self.delays},
-            stride_tokens=self.stride,
+            tokens_per_step=self.stride,
             max_concurrent_loads=max(0, self.loads_at_once),
         )
 
--- a/src/violethatch/room.py
+++ b/src/violethatch/room.py
@@ -403,7 +403,7 @@
     slowness = 1.0 / (1.0 - _reading(fill * cost.reading_ms, busy_ms, idle_ms))
     token_ms = slowness * steps_ms + cost.hop_ms
     read_ms = slowness * cost.read_ms + chunks * token_ms + cost.pipe_ms
-    first_event_ms = read_ms + engine.stride_tokens * token_ms
+    first_event_ms = read_ms + engine.tokens_per_step * token_ms
     stream_ms = read_ms + engine.usual_answer_tokens * token_ms
     return _Times(first_event_ms, token_ms, stream_ms)
 
@@ -426,7 +426,7 @@
 
 def _is_in_target(times: _Times, engine: EngineSpec, targets: Targets) -> bool:
     """Tell whether first events and gaps are within target."""
-    gap_ms = engine.stride_tokens * times.token_ms
+    gap_ms = engine.tokens_per_step * times.token_ms
     return _is_within(times.first_event_ms, targets.first_event_s) and _is_within(
         gap_ms, targets.gap_s
     )
--- a/src/violethatch/server_backoffs.py
+++ b/src/violethatch/server_backoffs.py
@@ -83,7 +83,7 @@
     return known_ms if sent_ms >= known_ms else None
 
 
-class Rest(NamedTuple):
+class Backoff(NamedTuple):
     """A rest that a server has asked this instance for.
 
     Attributes:
@@ -100,7 +100,7 @@
 
     started_ms: int
     sent_ms: int
-    asked_s: float
+    requested_s: float
     until_s: float
     returns_s: float
     request_id: str
@@ -134,7 +134,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._rests: dict[str, Rest] = {}
+        self._rests: dict[str, Backoff] = {}
 
     def __len__(self) -> int:
         return len(self._rests)
@@ -172,7 +172,7 @@
                 self._rests[server_id] = known._replace(sent_ms=sent_ms)
                 return False
         spread_s = min(MOST_SPREAD_S, SPREAD_PART * length_s) * self._rng.random()
-        self._rests[server_id] = Rest(
+        self._rests[server_id] = Backoff(
             start_ms, sent_ms, length_s, until_s, until_s + spread_s, request_id
         )
         self._forget_some(now_s)
@@ -180,7 +180,7 @@
 
     def active(
         self, server_id: str, *, started_ms: int = 0, now_s: float
-    ) -> Rest | None:
+    ) -> Backoff | None:
         """Return the rest that binds towards a start of a server, if one does."""
         known = self._rests.get(server_id)
         if known is None or not known.binds(started_ms, now_s=now_s):
@@ -199,7 +199,7 @@
         if known is not None and now_s >= known.until_s:
             del self._rests[server_id]
 
-    def known(self) -> Mapping[str, Rest]:
+    def known(self) -> Mapping[str, Backoff]:
         """Return, by server's id, the rests that bind or are not tried yet."""
         return self._rests
 
--- a/tests/routing_samples.py
+++ b/tests/routing_samples.py
@@ -36,8 +36,8 @@
         step_ms=1.02,
         per_sequence_ms=0.01428,
         context_per_k_ms=0.01912,
-        read_tokens_per_s=105_000.0,
-        pairs_per_m_ms=0.309,
+        prefill_tokens_per_s=105_000.0,
+        attention_ms_per_m_pairs=0.309,
         chunk_tokens=512,
         usual_prompt_tokens=774.0,
         usual_answer_tokens=200.0,
@@ -45,7 +45,7 @@
         kinds=KINDS,
         zone_delay_ms={("z1", "z2"): 0.75},
         activation_bytes=91_800.0,
-        pipe_mbps=26_000.0,
+        zone_link_mbps=26_000.0,
     )
     return spec._replace(**changes)
 
--- a/tests/signaling_servers.py
+++ b/tests/signaling_servers.py
@@ -56,7 +56,7 @@
     """Delays of the event loop, which the servers and instances of a test share."""
 
     def __init__(self):
-        self.most_s = 0.0
+        self.max_s = 0.0
         #: The start and end times of delays.
         self._stalls = []
 
@@ -93,7 +93,7 @@
             await asyncio.sleep(0.01)
             now_s = clocks.now_s()
             late_s = now_s - before_s - 0.01
-            self.most_s = max(self.most_s, late_s)
+            self.max_s = max(self.max_s, late_s)
             if late_s >= MIN_STALL_S:
                 self._stalls.append((now_s - late_s, now_s))
 
@@ -132,9 +132,9 @@
         #: When a flow-control header was first sent.
         self.first_signal_s = None
         #: The back-off requests, with the instance, the time and the server's start.
-        self.words = []
-        self.ran = []
-        self.departures = []
+        self.backoff_requests = []
+        self.accepted = []
+        self.shutdown_reports = []
         self.arrivals_by_start = []
         self._app_runner = None
 
@@ -154,7 +154,7 @@
         """Stop listening."""
         await self._app_runner.cleanup()
 
-    def start_again(self, started_ms):
+    def restart(self, started_ms):
         """Simulate a restart under the same id, without any signals."""
         self.listed = self.listed._replace(started_ms=started_ms)
         self.retry_after = None
@@ -205,9 +205,11 @@
             self.first_signal_s = self.first_signal_s or now_s
         instance = headers[ID].partition("-")[0]
         if "Server-Leaving" in headers:
-            self.departures.append((instance, now_s, started_ms))
+            self.shutdown_reports.append((instance, now_s, started_ms))
         if "Retry-After" in headers:
-            self.words.append((instance, now_s, headers["Retry-After"], started_ms))
+            self.backoff_requests.append(
+                (instance, now_s, headers["Retry-After"], started_ms)
+            )
         return web.Response(headers=headers, **response)
 
     async def _report(self, request):
@@ -236,7 +238,7 @@
                 "Retry-After": self.retry_after,
             }
             return self._respond(headers, started_ms, status=503)
-        self.ran.append(call_id)
+        self.accepted.append(call_id)
         await asyncio.sleep(self.work_s())
         is_plain = request.path.startswith("/label/")
         body = b"done" if is_plain else b"id: 1\ndata: 1\n\n"
@@ -351,12 +353,12 @@
 
 
 @contextlib.asynccontextmanager
-async def servers_and_instances(listed, *, machines=1, seed=1):
+async def servers_and_instances(listed, *, instance_count=1, seed=1):
     """Provide running servers, and instances that list them."""
     servers = [SignalingServer(entry) for entry in listed]
     await asyncio.gather(*(server.start() for server in servers))
     instances = [
-        RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(machines)
+        RouterInstance(f"m{n}", servers, seed=seed + n) for n in range(instance_count)
     ]
     try:
         yield servers, instances
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -38,7 +38,7 @@
         """After the store has recovered, an entry may be removed and written again."""
         table = BackendTable()
         table.apply_changes([plain_server("a")], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         assert table.apply_changes([], ["a"], now_s=10.5).lost == ()
         table.expire(now_s=11.0)
         assert usable_ids(table) == {"a"}
@@ -50,7 +50,7 @@
         """The grace period of an expired entry ends."""
         table = BackendTable()
         table.apply_changes([plain_server("a")], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         table.apply_changes([], ["a"], now_s=10.5)
         assert table.expire(now_s=10.5 + EXPIRY_GRACE_S) == ("a",)
         assert usable_ids(table) == set()
@@ -59,14 +59,14 @@
         """A server that was shutting down is removed along with its entry."""
         table = BackendTable()
         table.apply_changes([plain_server("a", is_leaving=True)], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         assert table.apply_changes([], ["a"], now_s=10.5).lost == ("a",)
 
     def test_grace_period_is_limited_to_recovery(self):
         """Long after the store has recovered, removals take effect immediately."""
         table = BackendTable()
         table.apply_changes([plain_server("a")], [], now_s=0.0)
-        table.store_returned(now_s=10.0)
+        table.record_store_recovery(now_s=10.0)
         late_s = 10.0 + EXPIRY_WINDOW_S
         assert table.apply_changes([], ["a"], now_s=late_s).lost == ("a",)
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -247,7 +247,7 @@
         WireDecoder().backend_server(name, good(n)) for n, name in enumerate("ab")
     ]
     table.apply_changes(servers, [], now_s=0.0)
-    table.store_returned(now_s=1.0)
+    table.record_store_recovery(now_s=1.0)
     assert table.apply_changes([], [], refused=["a"], now_s=1.1).lost == ("a",)
     assert table.replace(servers[1:], refused=["a"], now_s=1.2).lost == ()
 
--- a/tests/test_pace_link.py
+++ b/tests/test_pace_link.py
@@ -4,8 +4,8 @@
 from __future__ import annotations
 
 from test_instances import entry
-from violethatch._pace_link import PaceLink
 from violethatch._peer_datagrams import PaceDatagram, PeerDatagrams
+from violethatch._slow_runner_link import SlowRunnerLink
 from violethatch.instances import InstanceDirectory
 from violethatch.slow_runners import SlowRunners
 
@@ -32,21 +32,21 @@
     def test_report_is_sent_to_all(self):
         """Each other instance is sent one message."""
         datagrams = FakeDatagrams("i0", "i1", "i2")
-        PaceLink(datagrams, SlowRunners()).broadcast("a", 12.0)
+        SlowRunnerLink(datagrams, SlowRunners()).broadcast("a", 12.0)
         assert datagrams.sent == [("i1", "a", 12.0), ("i2", "a", 12.0)]
 
     def test_report_is_recorded(self):
         """A runner that is slow for one instance is slow for all."""
         slow_runners = SlowRunners()
         datagrams = FakeDatagrams()
-        PaceLink(datagrams, slow_runners)
+        SlowRunnerLink(datagrams, slow_runners)
         datagrams.receive(PaceDatagram("t", "i1", "a", 12.0))
         assert slow_runners.slow(now_s=0.0) == {"a": 12.0}
 
     def test_bounded_rate(self):
         """The links are not saturated, regardless of the number of slow runners."""
         datagrams = FakeDatagrams("i1")
-        link = PaceLink(datagrams, SlowRunners())
+        link = SlowRunnerLink(datagrams, SlowRunners())
         for n in range(100):
             link.broadcast(f"s{n}", 12.0)
         assert len(datagrams.sent) <= 10
@@ -55,7 +55,7 @@
         """A message survives encoding and decoding."""
         slow_runners = SlowRunners()
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
-        PaceLink(datagrams, slow_runners)
+        SlowRunnerLink(datagrams, slow_runners)
         sent = []
         sender = PeerDatagrams(InstanceDirectory(entry("i1")))
         sender.connection_made(
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -164,7 +164,7 @@
             return (
                 decode({**CONFIG, "Services": [service]})
                 .services["model"]
-                .engine.stride_tokens
+                .engine.tokens_per_step
             )
 
         assert stride() == 1.0
--- a/tests/test_repeats_that_end_servers.py
+++ b/tests/test_repeats_that_end_servers.py
@@ -256,7 +256,7 @@
     servers.end = end_and_hold
     async with measure_loop_lag() as lag:
         await try_at_the_same_moment(fleet)
-    assert lag.most_s >= TOLD_S
+    assert lag.max_s >= TOLD_S
     assert arrivals_after(servers, lag) <= MOST_AFTER
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -203,13 +203,13 @@
                 wait = 1 + min(pipe, 0.95) / (1 - min(pipe, 0.95)) / 2
                 crossing_ms = path.zone_hops * spec.zone_transfer_ms * wait
                 read_ms += chunks * token_ms[path] + crossing_ms
-                first_ms[path] = read_ms + spec.stride_tokens * token_ms[path]
+                first_ms[path] = read_ms + spec.tokens_per_step * token_ms[path]
                 stream_ms[path] = read_ms + spec.usual_answer_tokens * token_ms[path]
         good = {
             path: streams
             for path, streams in self.laid.items()
             if first_ms[path] <= self.targets.first_event_s * 1000
-            and spec.stride_tokens * token_ms[path]
+            and spec.tokens_per_step * token_ms[path]
             <= (self.targets.gap_s or math.inf) * 1000
         }
         starts = sum(1000 * n / stream_ms[path] for path, n in good.items())
--- a/tests/test_servers_that_ask_for_rest.py
+++ b/tests/test_servers_that_ask_for_rest.py
@@ -35,7 +35,7 @@
 async def test_rest_is_kept(path):
     """Nothing reaches the server until its rest is over; the others serve."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=2) as (
+        servers_and_instances(preferred_servers(path), instance_count=2) as (
             servers,
             machines,
         ),
@@ -51,7 +51,7 @@
         assert servers[0].first_signal_s is not None
         for one in machines:
             again = servers[0].arrivals(
-                after_s=IN_FLIGHT_S + lag.most_s, until_s=REST_S, machine=one.name
+                after_s=IN_FLIGHT_S + lag.max_s, until_s=REST_S, machine=one.name
             )
             assert again == []
         assert all(one.end == "whole" for some in outcomes for one in some)
@@ -73,6 +73,6 @@
         for session in (machine.kept, machine.fresh):
             slow_connects(session, wait_s)
         outcomes = await asyncio.gather(*(machine.ask(path=path) for _ in range(13)))
-        again = servers[0].arrivals(after_s=IN_FLIGHT_S + lag.most_s, until_s=REST_S)
+        again = servers[0].arrivals(after_s=IN_FLIGHT_S + lag.max_s, until_s=REST_S)
         assert again == []
         assert all(one.end == "whole" for one in outcomes)
--- a/tests/test_servers_that_leave.py
+++ b/tests/test_servers_that_leave.py
@@ -26,7 +26,7 @@
 async def test_leaving_server_gets_nothing_more(path, turns_away):
     """Once an answer says so no request goes there, though the list says nothing."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=2) as (
+        servers_and_instances(preferred_servers(path), instance_count=2) as (
             servers,
             machines,
         ),
@@ -40,6 +40,6 @@
                 for one in machines
             )
         )
-        after_s = LEAVING_S + lag.most_s
+        after_s = LEAVING_S + lag.max_s
         assert servers[0].arrivals(after_s=after_s, until_s=9.0) == []
         assert all(one.end == "whole" for some in outcomes for one in some)
--- a/tests/test_servers_that_name_a_limit.py
+++ b/tests/test_servers_that_name_a_limit.py
@@ -45,7 +45,7 @@
 async def test_all_together_keep_to_it(path, instances):
     """All together send what the server takes of them; the other servers serve."""
     async with (
-        servers_and_instances(preferred_servers(path), machines=instances) as (
+        servers_and_instances(preferred_servers(path), instance_count=instances) as (
             servers,
             machines,
         ),
@@ -53,7 +53,7 @@
     ):
         join_instances(machines)
         await machines[0].ask(path=path)
-        (limited,) = (one for one in servers if one.ran)
+        (limited,) = (one for one in servers if one.accepted)
         limited.limit_a_s = str(LIMIT_A_S)
         outcomes = await asyncio.gather(
             *(
@@ -62,6 +62,6 @@
             )
         )
         arrived_s = limited.arrival_times(after_s=KNOWN_S, until_s=LASTS_S)
-        most = max_within(arrived_s, SPAN_S - lag.most_s)
+        most = max_within(arrived_s, SPAN_S - lag.max_s)
         assert most <= int(SPAN_S * LIMIT_A_S)
         assert all(one.end == "whole" for some in outcomes for one in some)
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -234,7 +234,7 @@
                 started_s = clocks.now_s()
                 error = await made[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
-            assert took_s < 0.1 + lag.most_s
+            assert took_s < 0.1 + lag.max_s
             assert (error.code, error.ran) == (OverloadedError.code, "no")
             first_s = 20.0 - (len(servers) - 1)
             assert first_s - 0.2 <= error.retry_after_s <= first_s + 1.5
@@ -593,7 +593,7 @@
                 started_s = clocks.now_s()
                 error = await made[0].ask(path=path)
                 took_s = clocks.now_s() - started_s
-            assert took_s < 0.1 + lag.most_s
+            assert took_s < 0.1 + lag.max_s
             assert (error.code, error.ran) == (OverloadedError.code, "no")
             assert 1.5 <= error.retry_after_s <= 7.0
             assert all(server.arrived == [] for server in servers)
--- a/tests/test_words_soak.py
+++ b/tests/test_words_soak.py
@@ -70,7 +70,7 @@
 
     def start_again(self):
         """Let the server start again under its id, free of all it has said."""
-        self.server.start_again(int(clocks.wall_s() * 1000))
+        self.server.restart(int(clocks.wall_s() * 1000))
         entry = {self.server.listed.id: self.server.listed}
         for machine in self.machines:
             # The list tells each instance late.
@@ -178,7 +178,7 @@
     """Return arrivals at a server within rests that it had asked that machine for."""
     return [
         (machine, round(at_s - said_s, 3), figure)
-        for machine, said_s, figure, started_ms in server.words
+        for machine, said_s, figure, started_ms in server.backoff_requests
         for what, at_s, arrived_ms in server.arrivals_by_start
         if what.startswith(machine)
         and arrived_ms == started_ms
@@ -190,7 +190,7 @@
     """Return arrivals at a start that had said to a machine that it leaves."""
     return [
         (machine, round(at_s - said_s, 3))
-        for machine, said_s, started_ms in server.departures
+        for machine, said_s, started_ms in server.shutdown_reports
         for what, at_s, arrived_ms in server.arrivals_by_start
         if what.startswith(machine)
         and arrived_ms == started_ms
@@ -218,7 +218,7 @@
         *(plain_server(f"p{n}", started_ms=1) for n in range(2)),
     ]
     async with (
-        servers_and_instances(listed, machines=MACHINES, seed=seed) as (
+        servers_and_instances(listed, instance_count=MACHINES, seed=seed) as (
             servers,
             machines,
         ),
@@ -242,13 +242,13 @@
         *outcomes, _ = await asyncio.gather(*asking, asyncio.gather(*work))
     assert ledger.broken(servers) == []
     nothing = [[]] * len(servers)
-    assert [broken_rests(server, lag.most_s) for server in servers] == nothing
-    assert [late_arrivals(server, lag.most_s) for server in servers] == nothing
+    assert [broken_rests(server, lag.max_s) for server in servers] == nothing
+    assert [late_arrivals(server, lag.max_s) for server in servers] == nothing
     unrun = [one for some in outcomes for one in some if is_refusal(one)]
-    ran = {call_id for server in servers for call_id in server.ran}
+    ran = {call_id for server in servers for call_id in server.accepted}
     assert all(one.retry_after_s > 0 for one in unrun)
     assert {one.call_id for one in unrun}.isdisjoint(ran)
-    assert sum(len(server.words) for server in servers) > 0
+    assert sum(len(server.backoff_requests) for server in servers) > 0
 
 
 #: How long servers that name limits are watched, in seconds, and by how many instances.
@@ -330,7 +330,7 @@
         *(plain_server(f"p{n}") for n in range(2)),
     ]
     async with (
-        servers_and_instances(listed, machines=LIMIT_MACHINES, seed=seed) as (
+        servers_and_instances(listed, instance_count=LIMIT_MACHINES, seed=seed) as (
             servers,
             machines,
         ),
@@ -351,14 +351,14 @@
         ]
         changing = asyncio.gather(*(one.run(end_s) for one in troubles))
         *outcomes, _ = await asyncio.gather(*asking, changing)
-        broken = [one.broken(lag.most_s) for one in troubles]
+        broken = [one.broken(lag.max_s) for one in troubles]
     assert broken == [[]] * len(troubles)
     unrun = [one for some in outcomes for one in some if is_refusal(one)]
-    ran = {call_id for server in servers for call_id in server.ran}
+    ran = {call_id for server in servers for call_id in server.accepted}
     assert all(one.retry_after_s > 0 for one in unrun)
     assert {one.call_id for one in unrun}.isdisjoint(ran)
     others = [one for some in outcomes for one in some if not is_refusal(one)]
     cut = [one for one in others if getattr(one, "end", "") != "whole"]
     # A loop that is held up uses callers' deadlines and streams' patience up.
-    if lag.most_s < HELD_UP_S:
+    if lag.max_s < HELD_UP_S:
         assert [getattr(one, "detail", one) for one in cut] == []
