--- a/src/violethatch/server_backoffs.py
+++ b/src/violethatch/server_backoffs.py
@@ -89,7 +89,7 @@
     Attributes:
         started_ms: Which start of the server was listed; 0 where it tells none.
         sent_ms: When the request was sent that it answered, by the time of day.
-        asked_s: For how long it has asked, in seconds.
+        requested_s: For how long it has asked, in seconds.
         until_s: Until when nothing is sent.
         returns_s: From when on it is taken up again where there are others.
         request_id: What it has answered with the word; empty if that was no call.
