--- a/src/violethatch/_health_checks.py
+++ b/src/violethatch/_health_checks.py
@@ -83,7 +83,7 @@
     def _slow(self) -> list[BackendServer]:
         """Return the slow runners that are to be asked again."""
         routing = self._routing
-        ids = routing.paces.due_for_probe(
+        ids = routing.slow_runners.due_for_probe(
             instances=routing.instance_count(), rng=self._rng, now_s=clocks.now_s()
         )
         return self._known(ids)
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -32,7 +32,7 @@
         self._router = router
         self._sightings = FaultReportLink(datagrams, router.routing.peer_fault_reports)
         self._sightings.started_ms = router.routing.started_ms
-        self._paces = SlowRunnerLink(datagrams, router.routing.paces)
+        self._paces = SlowRunnerLink(datagrams, router.routing.slow_runners)
         self._retries = RetryLink(datagrams, router.routing.retries, rng=rng)
         self._suspects = SuspectLink(datagrams, router.routing.suspects)
         self._returns = ReturnLink(datagrams, rng=rng)
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -109,7 +109,7 @@
         self.may_try: Callable[[str], bool] = lambda _trait: True
         #: Stores whether a trait is held back, where that lasts.
         self.store_hold: Callable[[str], None] = lambda _trait: None
-        self.paces = SlowRunners()
+        self.slow_runners = SlowRunners()
         #: Tells other instances what a slow runner has said, where there are any.
         self.broadcast_slowness: Callable[[str, float], None] = lambda _id, _slowness: (
             None
@@ -131,7 +131,7 @@
             backends=self.backends,
             health=self.health,
             flow_control=self.flow_control,
-            paces=self.paces,
+            paces=self.slow_runners,
             loads=self.loads,
             zone_link=PipeShare(rng),
             instances=lambda: self.instance_count(),
@@ -160,8 +160,8 @@
         *,
         avoided: frozenset[str] = frozenset(),
         first: BackendServer | None = None,
-        kept: Path | None = None,
-        may_doubt: bool = False,
+        current_path: Path | None = None,
+        include_possibly_full: bool = False,
         priority: int = 0,
     ) -> Path | None:
         """Return the quickest path of a service over healthy runners.
@@ -180,8 +180,8 @@
             service,
             excluded=avoided,
             first_server=first,
-            current_path=kept,
-            include_possibly_full=may_doubt,
+            current_path=current_path,
+            include_possibly_full=include_possibly_full,
             priority=priority,
         )
 
@@ -197,7 +197,9 @@
         self.expire()
         return self._paths.isolated_path(service, excluded=avoided, key=trait)
 
-    def blocked(self, service: ServiceSpec, *, priority: int = 0) -> BlockedTime | None:
+    def blocked_time(
+        self, service: ServiceSpec, *, priority: int = 0
+    ) -> BlockedTime | None:
         """Return how long rests and limits block all paths for a priority.
 
         None where some layer has no holder, whether it rests or not.
@@ -302,7 +304,7 @@
             self.peer_fault_reports.forget(server_id)
             self.probes.forget(server_id)
             self.silence_detector.forget(server_id)
-            self.paces.forget(server_id)
+            self.slow_runners.forget(server_id)
             self.server_choice.forget(server_id)
             self.loads.forget(server_id)
 
@@ -408,9 +410,9 @@
         if 0 < report.started_ms < server.started_ms:
             return  # another process's, which has been there before
         now_s = clocks.now_s()
-        was_slow = server.id in self.paces.slow(now_s=now_s)
-        self.paces.record(server.id, report.slowness, now_s=now_s)
-        is_slow = server.id in self.paces.slow(now_s=now_s)
+        was_slow = server.id in self.slow_runners.slow(now_s=now_s)
+        self.slow_runners.record(server.id, report.slowness, now_s=now_s)
+        is_slow = server.id in self.slow_runners.slow(now_s=now_s)
         if is_slow or was_slow:
             self.broadcast_slowness(server.id, report.slowness)
         if is_slow != was_slow:
@@ -440,7 +442,7 @@
         refusal: Refusal,
         request_id: str,
         *,
-        is_told_by_other: bool = False,
+        is_reported_by_peer: bool = False,
     ) -> None:
         """Take in that a call was refused without being run.
 
@@ -450,9 +452,9 @@
             request_id: Names the call.
             is_told_by_other: Whether that word is another server's.
         """
-        trouble = _trouble_of(refusal, is_told_by_other=is_told_by_other)
+        trouble = _trouble_of(refusal, is_told_by_other=is_reported_by_peer)
         server = self.backends.get(server_id)
-        if is_told_by_other and server is not None:
+        if is_reported_by_peer and server is not None:
             self.flow_control.record_forwarded_backoff(
                 server, refusal.signals, request_id
             )
@@ -469,7 +471,7 @@
             asks_rest_s=refusal.signals.backoff_s,
             rested_s=round(rested_s, 3),
             rest_s=round(max(guessed_s, asked_s), 3),
-            is_told_by_other=is_told_by_other,
+            is_told_by_other=is_reported_by_peer,
         )
 
     def _note(self, server_id: str, trouble: ServerFault) -> float | None:
--- a/src/violethatch/silence_detection.py
+++ b/src/violethatch/silence_detection.py
@@ -40,14 +40,14 @@
 
     def __init__(self, *, max_silence_s: float) -> None:
         self.max_silence_s = max_silence_s
-        self.usual_gap_s = max_silence_s
+        self.mean_gap_s = max_silence_s
         self._streams: collections.Counter[str] = collections.Counter()
         self._seen_s: dict[str, float] = {}
 
     @property
     def min_silence_s(self) -> float:
         """The shortest time without events that may mean something, in seconds."""
-        least_s = max(_LEAST_S, _LEAST_GAPS * self.usual_gap_s)
+        least_s = max(_LEAST_S, _LEAST_GAPS * self.mean_gap_s)
         return min(self.max_silence_s, least_s)
 
     def stream_started(self, server_ids: Collection[str], *, now_s: float) -> None:
@@ -59,7 +59,7 @@
         self, server_ids: Collection[str], *, gap_s: float, now_s: float
     ) -> None:
         """Note a stream's further event along a path, and the time since the last."""
-        self.usual_gap_s += _GAIN * (gap_s - self.usual_gap_s)
+        self.mean_gap_s += _GAIN * (gap_s - self.mean_gap_s)
         self._note(server_ids, now_s)
 
     def stream_ended(self, server_ids: Collection[str]) -> None:
@@ -87,7 +87,7 @@
         if silence_s < self.min_silence_s:
             return False
         streams = max(1, self._streams[server_id])
-        telling_s = _MISSING_EVENTS * self.usual_gap_s / streams
+        telling_s = _MISSING_EVENTS * self.mean_gap_s / streams
         return silence_s >= min(self.max_silence_s, telling_s)
 
     def _note(self, server_ids: Iterable[str], now_s: float) -> None:
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -347,14 +347,16 @@
             path = self._routing.path(
                 self._service,
                 avoided=self._avoided,
-                may_doubt=not pauses,
+                include_possibly_full=not pauses,
                 priority=self._admitted.priority,
             )
         return path
 
     def _is_blocked(self, wait_s: float) -> bool:
         """Tell whether there will be no path for some time, as far as is known."""
-        blocked = self._routing.blocked(self._service, priority=self._admitted.priority)
+        blocked = self._routing.blocked_time(
+            self._service, priority=self._admitted.priority
+        )
         return blocked is None or blocked.remaining_s > wait_s
 
     def _make_run(self, path: Path, *, is_again: bool) -> StreamRun:
@@ -553,7 +555,7 @@
             culprit.id,
             refusal,
             self._call.id,
-            is_told_by_other=culprit.id != first.id,
+            is_reported_by_peer=culprit.id != first.id,
         )
 
     def _failure(self) -> VioletHatchError:
@@ -568,7 +570,9 @@
         self._routing.flow_control.log_blocked_servers(
             self._call.id, self._service.name
         )
-        blocked = self._routing.blocked(self._service, priority=self._admitted.priority)
+        blocked = self._routing.blocked_time(
+            self._service, priority=self._admitted.priority
+        )
         blocked_s = _NO_HOLDER_S if blocked is None else blocked.remaining_s
         retry_after_s = self._routing.admission.retry_after_s(
             self._service.name, self._request, blocked_s=blocked_s
--- a/src/violethatch/streams/_check.py
+++ b/src/violethatch/streams/_check.py
@@ -126,7 +126,7 @@
 
     def slow_stages(self, path: Path) -> frozenset[str]:
         """Return the ids of a path's later runners that say they are slow."""
-        slow = self._routing.paces.slow(now_s=clocks.now_s())
+        slow = self._routing.slow_runners.slow(now_s=clocks.now_s())
         return frozenset(
             stage.server.id for stage in path.stages[1:] if stage.server.id in slow
         )
@@ -249,7 +249,7 @@
             pending=[one.id for one in found.pending],
             restarted=[one.id for one in restarted],
             path=[stage.server.id for stage in path.stages],
-            usual_gap_s=round(self._progress.usual_gap_s, 4),
+            usual_gap_s=round(self._progress.mean_gap_s, 4),
             waiting=report.waiting if report else None,
             running=report.running if report else None,
             kv_used_part=round(report.kv_used_part, 3) if report else None,
--- a/src/violethatch/streams/_run.py
+++ b/src/violethatch/streams/_run.py
@@ -379,7 +379,7 @@
                 self._service,
                 avoided=self.suspects,
                 first=self.path.first,
-                kept=self.path,
+                current_path=self.path,
             )
             if path is None or self.path.first.id in self.suspects:
                 return False
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -168,7 +168,7 @@
         usable = {one.id for one in made.routing.backends.usable("model")}
         assert {"a", "b"} <= usable
         assert made.routing.path(service) is not None
-        assert made.routing.blocked(service) == (0.0, 0.0)
+        assert made.routing.blocked_time(service) == (0.0, 0.0)
 
     def test_address_that_another_id_has_too(self):
         """Both are listed; who answers there tells whether it is the one named."""
@@ -235,7 +235,7 @@
             ["l", "t", "i2", "up", 2, number, 10, b""],
         ):
             datagrams.datagram_received(msgspec.msgpack.encode(fields), None)
-        assert not made.routing.paces.slow(now_s=clocks.now_s())
+        assert not made.routing.slow_runners.slow(now_s=clocks.now_s())
         assert made.routing.loads.others.pipe_ms_per_s == 0.0
         assert made.routing.retries.give_retries("model", 0.0) == 0.0
 
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -142,8 +142,8 @@
         for server in NEAR[:4]:
             one.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
         one.health.record_fault("n1-2", ServerFault.FULL, now_s=now_s)
-        assert one.blocked(SERVICE).remaining_s <= 0.3
-        assert one.blocked(SERVICE).remaining_s > 0.0
+        assert one.blocked_time(SERVICE).remaining_s <= 0.3
+        assert one.blocked_time(SERVICE).remaining_s > 0.0
 
     def test_path_that_is_free_first(self):
         """Not the one of the quickest runners, nor that of the fewest that rest."""
@@ -153,21 +153,21 @@
             word = ServerSignals(status=503, backoff_s=rest_s, is_binding=True)
             one.flow_control.record_signals(server, word, "c1")
         for _ in range(2):
-            blocked = one.blocked(SERVICE)
+            blocked = one.blocked_time(SERVICE)
             assert 1.8 <= blocked.requested_s <= 2.0
             assert blocked.remaining_s == blocked.requested_s
         one.flow_control.record_signals(
             NEAR[1], ServerSignals(status=503, backoff_s=1.0, is_binding=True), "c2"
         )
-        assert one.blocked(SERVICE).requested_s <= 2.0
+        assert one.blocked_time(SERVICE).requested_s <= 2.0
         for server in (NEAR[3], NEAR[7]):
             one.health.record_fault(server.id, ServerFault.SILENT, now_s=now_s)
-        assert 2.0 <= one.blocked(SERVICE).remaining_s <= 3.0
+        assert 2.0 <= one.blocked_time(SERVICE).remaining_s <= 3.0
 
     def test_lacking_layers_are_not_waited_for(self):
         """Nobody knows when a layer without a holder comes back."""
         (one,) = routings(1, *NEAR[:3])
-        assert one.blocked(SERVICE) is None
+        assert one.blocked_time(SERVICE) is None
 
 
 class TestQuickChainOfAnotherZone:
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -31,7 +31,7 @@
 class TestProgress:
     def test_usual_gap_is_learnt(self):
         """It follows what streams show."""
-        assert progress(streams=1).usual_gap_s == pytest.approx(0.06, rel=0.01)
+        assert progress(streams=1).mean_gap_s == pytest.approx(0.06, rel=0.01)
 
     def test_one_stream_tells_late(self):
         """Of one stream one event and a half have to be missing."""
--- a/tests/test_rest_watch.py
+++ b/tests/test_rest_watch.py
@@ -107,9 +107,9 @@
         client = FakeClient()
         client.reports["a"] = report(slowness=1.0)
         routing = make_routing(client, A, rng=random.Random(1))
-        routing.paces.record("a", 12.0, now_s=clocks.now_s())
+        routing.slow_runners.record("a", 12.0, now_s=clocks.now_s())
         await HealthCheckLoop(routing, rng=random.Random(1)).look()
-        assert routing.paces.slow(now_s=clocks.now_s()) == {}
+        assert routing.slow_runners.slow(now_s=clocks.now_s()) == {}
 
     async def test_looks_go_on(self):
         """The watch runs until it is cancelled."""
