--- a/src/violethatch/_admission.py
+++ b/src/violethatch/_admission.py
@@ -54,7 +54,7 @@
         section: The settings.
         capacity: Knows the runners.
         peers: Knows what other instances are asked for.
-        returns: Reserves starts.
+        retry_scheduler: Reserves starts.
         phase: Where the instance begins to spread what it admits, 0 to 1: hundreds that
             begin alike would admit their first requests together.
     """
@@ -65,27 +65,27 @@
         *,
         capacity: Capacity,
         peers: PeerDemand,
-        returns: Returns,
+        retry_scheduler: Returns,
         phase: float,
     ) -> None:
         self.section = section
         self.capacity = capacity
         self.peers = peers
-        self.returns = returns
+        self.retry_scheduler = retry_scheduler
         self.phase = phase
         self.observer: AdmissionObserver = Unobserved()
         self.counter = DemandCounter()
         self._desired: DesiredState | None = None
         self._services: dict[str, GovernedService] = {}
 
-    def take_settings(self, section: AdmissionSection) -> None:
+    def apply_settings(self, section: AdmissionSection) -> None:
         """Take changed settings in."""
         self.section = section
         for service in self._services.values():
             service.take_section(section)
         self._govern()
 
-    def take_desired(self, desired: DesiredState) -> None:
+    def apply_desired_state(self, desired: DesiredState) -> None:
         """Take a desired state in: it says which services are governed."""
         self._desired = desired
         self._govern()
@@ -190,19 +190,19 @@
         slot_s = governed.slot_s(request, reason="no_path")
         return max(slot_s, blocked_s)
 
-    def began(self, service: str) -> None:
+    def stream_started(self, service: str) -> None:
         """Count an admitted stream in, until it is over."""
         governed = self._services.get(service)
         if governed is not None:
             governed.own_running += 1
 
-    def over(self, service: str) -> None:
+    def stream_finished(self, service: str) -> None:
         """Count an admitted stream out, however it has ended."""
         governed = self._services.get(service)
         if governed is not None:
             governed.own_running = max(0, governed.own_running - 1)
 
-    def ended(self, service: str, *, is_in_target: bool) -> None:
+    def record_outcome(self, service: str, *, is_in_target: bool) -> None:
         """Note whether a stream of this instance came within its targets."""
         governed = self._services.get(service)
         if governed is not None:
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -370,7 +370,7 @@
         with slices.at_one_go():
             self.desired = state
             self._desired_value = view.values["config"]
-            self.routing.admission.take_desired(state)
+            self.routing.admission.apply_desired_state(state)
         self.metrics.state_taken(slices.took_s, slices.longest_s)
         self.record_start_step(Step.DESIRED_STATE)
         events.log(
@@ -481,7 +481,7 @@
             "load_instances": 1 + self.routing.loads.others.instances,
             "admission": self.routing.admission.dump(),
             "admission_settings": self.routing.admission.section._asdict(),
-            "admission_kept_starts": self.routing.admission.returns.kept(),
+            "admission_kept_starts": self.routing.admission.retry_scheduler.kept(),
             "load_age_s": self.routing.loads.others_age_s(now_s=now_s),
         }
 
--- a/src/violethatch/admission_plan.py
+++ b/src/violethatch/admission_plan.py
@@ -183,7 +183,8 @@
             heaviest: Those of the heaviest workspaces, by priority and workspace.
             room: What the usable runners can hold.
             running: Streams running over all instances, as far as heard.
-            age_s: How old the sums are, in seconds; use `plan_alone` above 2 s.
+            age_s: How old the sums are, in seconds; use `plan_from_local_load` above
+                2 s.
             now_s: The current time, in seconds.
 
         .. versionadded:: 26.5.0
@@ -220,7 +221,7 @@
             result = self._shared(result, heavy, offered_per_s, left_per_s)
         return self._keep(result, now_s=now_s)
 
-    def plan_alone(
+    def plan_from_local_load(
         self,
         demand: Mapping[int, float],
         *,
