--- a/src/violethatch/_admission.py
+++ b/src/violethatch/_admission.py
@@ -54,7 +54,7 @@
         section: The settings.
         capacity: Knows the runners.
         peers: Knows what other instances are asked for.
-        returns: Reserves starts.
+        retry_scheduler: Reserves starts.
         phase: Where the instance begins to spread what it admits, 0 to 1: hundreds that
             begin alike would admit their first requests together.
     """
