--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -290,7 +290,7 @@
         AdmissionSection(),
         capacity=fixed,
         peers=fixed,
-        retry_scheduler=fixed,
+        returns=fixed,
         phase=0.5,
     )
     services = {"model": ServiceSpec("model", 1000, _ENGINE)}
--- a/src/violethatch/_admission.py
+++ b/src/violethatch/_admission.py
@@ -54,7 +54,7 @@
         section: The settings.
         capacity: Knows the runners.
         peers: Knows what other instances are asked for.
-        retry_scheduler: Reserves starts.
+        returns: Reserves starts.
         phase: Where the instance begins to spread what it admits, 0 to 1: hundreds that
             begin alike would admit their first requests together.
     """
@@ -65,13 +65,13 @@
         *,
         capacity: Capacity,
         peers: PeerDemand,
-        retry_scheduler: Returns,
+        returns: Returns,
         phase: float,
     ) -> None:
         self.section = section
         self.capacity = capacity
         self.peers = peers
-        self.retry_scheduler = retry_scheduler
+        self.returns = returns
         self.phase = phase
         self.observer: AdmissionObserver = Unobserved()
         self.counter = DemandCounter()
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -58,6 +58,6 @@
         routing.retries.request_retries = self._retries.request
         routing.flow_control.limits.request_permit = self.limits.request_permit
         routing.flow_control.limits.announce = self.limits.announce
-        routing.admission.retry_scheduler = self._returns
+        routing.admission.returns = self._returns
         routing.link_watch.is_active = True
         routing.set_instance_sources(count=directory.__len__, place=directory.place)
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -481,7 +481,7 @@
             "load_instances": 1 + self.routing.loads.others.instances,
             "admission": self.routing.admission.dump(),
             "admission_settings": self.routing.admission.section._asdict(),
-            "admission_kept_starts": self.routing.admission.retry_scheduler.kept(),
+            "admission_kept_starts": self.routing.admission.returns.kept(),
             "load_age_s": self.routing.loads.others_age_s(now_s=now_s),
         }
 
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -142,7 +142,7 @@
             peers=AggregatedPeerDemand(
                 self.loads, instances=lambda: self.instance_count()
             ),
-            retry_scheduler=JitteredRetryScheduler(rng),
+            returns=JitteredRetryScheduler(rng),
             phase=rng.random(),
         )
         self.loads.own_demand = self.admission.demand
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -113,7 +113,7 @@
             AdmissionSection(**section),
             capacity=self.runners,
             peers=self.peers,
-            retry_scheduler=self.returns,
+            returns=self.returns,
             phase=0.5,
         )
         self.admission.apply_desired_state(state)
@@ -600,7 +600,7 @@
     async def test_no_path_reserves_a_start(self):
         routing = make_routing(FakeClient(), rng=random.Random(1))
         routing.admission.apply_desired_state(STATE)
-        routing.admission.retry_scheduler = returns = Returns()
+        routing.admission.returns = returns = Returns()
         admitted = STATE.admit(
             host="menu.example", path="/urgent/1", key="key-1", call_id="c1"
         )
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -98,7 +98,7 @@
         admission = made.routing.admission
         admission.section = AdmissionSection(mode=AdmissionMode.ON)
         admission.apply_desired_state(made.desired)
-        admission.retry_scheduler = Reserved()
+        admission.returns = Reserved()
         made.update_metrics()
         gauge = made.metrics.admission_reserved
         [service] = made.state()["admission"]
