--- a/src/violethatch/room.py
+++ b/src/violethatch/capacity.py
@@ -159,26 +159,26 @@
     pipe_ms: float
 
 
-def room(
+def estimate_capacity(
     layer_map: LayerMap,
     *,
-    left_out: Collection[str],
-    paces: Mapping[str, float],
+    excluded: Collection[str],
+    slowdowns: Mapping[str, float],
     targets: Targets,
 ) -> Room:
     """Return how many streams the usable runners hold and start within target.
 
     Args:
         layer_map: The runners of the service, in all zones.
-        left_out: Ids of runners that are not usable.
-        paces: By id, how many times longer slow runners take for a step.
+        excluded: Ids of runners that are not usable.
+        slowdowns: By id, how many times longer slow runners take for a step.
         targets: What callers need; a time that is not positive bounds nothing.
 
     .. versionadded:: 26.5.0
     """
     engine = layer_map.engine
-    usable = [one for one in layer_map.holders.values() if one.id not in left_out]
-    runners = {one.id: one for one in _runners(usable, engine, paces)}
+    usable = [one for one in layer_map.holders.values() if one.id not in excluded]
+    runners = {one.id: one for one in _runners(usable, engine, slowdowns)}
     by_zone: defaultdict[str, list[_Runner]] = defaultdict(list)
     for runner in runners.values():
         by_zone[runner.zone].append(runner)
--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -35,14 +35,14 @@
         self._sent: dict[int, _Sent] = {}
         self._round = 0
 
-    def pick(
-        self, servers: Mapping[int, ServerTotals], *, most: int
+    def select(
+        self, servers: Mapping[int, ServerTotals], *, limit: int
     ) -> dict[int, ServerTotals]:
         """Return what to tell next, and count it as told.
 
         Args:
             servers: All totals as they stand, by the server's number.
-            most: The most servers that fit.
+            limit: The most servers that fit.
         """
         self._round += 1
         numbers = servers.keys() | self._sent.keys()
@@ -50,7 +50,7 @@
             numbers,
             key=lambda one: (-self._change(one, servers), self._told_round(one), one),
         )
-        picked = {one: servers.get(one, _NO_STREAMS) for one in order[:most]}
+        picked = {one: servers.get(one, _NO_STREAMS) for one in order[:limit]}
         for number, totals in picked.items():
             self._note(number, totals)
         return picked
--- a/src/violethatch/turning_away.py
+++ b/src/violethatch/retry_delay.py
@@ -26,17 +26,19 @@
 _SPREAD_PART = 0.5
 
 
-def come_back_s(blocked_s: float, *, asked_s: float = 0.0, rng: random.Random) -> float:
+def retry_delay_s(
+    blocked_s: float, *, requested_backoff_s: float = 0.0, rng: random.Random
+) -> float:
     """Return what to tell a caller who was turned away, in seconds.
 
     Args:
         blocked_s: How long what blocks the caller is thought to last, in seconds.
-        asked_s: Until when servers have asked for rest, in seconds: that is no guess,
-            so that whoever comes back sooner is turned away again.
+        requested_backoff_s: Until when servers have asked for rest, in seconds: that is
+            no guess, so that whoever comes back sooner is turned away again.
         rng: Spreads callers.
 
     .. versionadded:: 26.2.0
     """
     guessed_s = min(MOST_S, max(LEAST_S, blocked_s))
-    spread_s = _SPREAD_PART * min(MOST_S, max(guessed_s, asked_s))
-    return round(max(guessed_s, asked_s) + spread_s * rng.random(), 2)
+    spread_s = _SPREAD_PART * min(MOST_S, max(guessed_s, requested_backoff_s))
+    return round(max(guessed_s, requested_backoff_s) + spread_s * rng.random(), 2)
