--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -14,6 +14,7 @@
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
+from .capacity import Room, Targets, estimate_capacity
 from .local_paths import FULL_UTILIZATION, LocalFirstSearch
 from .membership import rendezvous
 from .path_shares import (
@@ -27,7 +28,6 @@
 )
 from .paths import LayerMap, Path
 from .pipe_share import PipeShare
-from .room import Room, Targets, room
 from .runner_health import RunnerHealth
 from .slow_runners import SlowRunners
 from .stream_loads import StreamLoads, fullness_added
@@ -323,8 +323,11 @@
         slowdowns = self._slow_runners.slow(now_s=now_s)
         cached = self._rooms.get(service.name)
         if cached is None or not cached.is_valid(maps, unavailable, slowdowns, targets):
-            computed = room(
-                maps.all_zones, left_out=unavailable, paces=slowdowns, targets=targets
+            computed = estimate_capacity(
+                maps.all_zones,
+                excluded=unavailable,
+                slowdowns=slowdowns,
+                targets=targets,
             )
             cached = _CachedRoom(maps, unavailable, slowdowns, targets, computed)
             self._rooms[service.name] = cached
