--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -13,16 +13,16 @@
 
 from mortal_fleet import Network, instance_entries
 from own_ports import free_ports
-from violethatch import _return_link, clocks
+from violethatch import _reservation_link, clocks
 from violethatch._peer_datagrams import (
     ClaimDatagram,
     ClaimedDatagram,
     PeerDatagrams,
     ReservedDatagram,
 )
-from violethatch._return_link import ReturnLink
+from violethatch._reservation_link import ReservationLink
 from violethatch.instances import InstanceDirectory
-from violethatch.return_slots import ClaimOutcome
+from violethatch.start_reservations import ClaimOutcome
 
 
 WORK = "0" * 31 + "1"
@@ -55,7 +55,7 @@
             one.id: self.network.join(one, entries) for one in entries.values()
         }
         self.links = {
-            one: ReturnLink(datagrams, rng=rng)
+            one: ReservationLink(datagrams, rng=rng)
             for one, datagrams in self.datagrams.items()
         }
         self.own = entries
@@ -73,7 +73,7 @@
     def refuse(self, at, of=WORK):
         """Let an instance refuse a work; return the time told, from now."""
         slot = self.links[at].schedule_retry(
-            "chat", of, 0, starts_per_s=40.0, most_s=3.0
+            "chat", of, 0, starts_per_s=40.0, max_delay_s=3.0
         )
         assert slot.is_reserved
         return slot.at_s - clocks.now_s()
@@ -166,7 +166,9 @@
         async def part():
             zones = Zones(9)
             link = zones.links["i0"]
-            slot = link.schedule_retry("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
+            slot = link.schedule_retry(
+                "chat", WORK, 0, starts_per_s=0.0, max_delay_s=3.0
+            )
             assert not slot.is_reserved
             assert zones.network.sent == 0
 
@@ -335,7 +337,7 @@
             )
             zones.cut(*zones.keepers(of))
             link = zones.links[zones.zone[0]]
-            most = _return_link._MOST_ASKED
+            most = _reservation_link._MOST_ASKED
             claims = [asyncio.ensure_future(link.claim(of)) for _ in range(2 * most)]
             await asyncio.sleep(0.01)
             assert len(link._asked) == most
@@ -351,12 +353,12 @@
         async def part():
             zones = Zones(24)
             one, other = zones.zone[:2]
-            for number in range(3 * _return_link._MOST_ANSWERS):
+            for number in range(3 * _reservation_link._MOST_ANSWERS):
                 token = zones.own[other].token
                 zones.send(one, other, ClaimDatagram(token, one, number, WORK))
             await asyncio.sleep(0.1)
             link = zones.links[other]
-            assert len(link._answers) == _return_link._MOST_ANSWERS
+            assert len(link._answers) == _reservation_link._MOST_ANSWERS
 
         play(part)
 
@@ -474,7 +476,7 @@
 
         The time for answers is tested in virtual time; here the machine may be busy.
         """
-        monkeypatch.setattr(_return_link, "_ANSWER_S", 1.0)
+        monkeypatch.setattr(_reservation_link, "_ANSWER_S", 1.0)
         entries = {
             f"i{n}": one._replace(address=f"127.0.0.1:{port}")
             for (n, port), one in zip(
@@ -487,11 +489,11 @@
             directory.take(entries, is_whole=True)
             sockets[own.id] = PeerDatagrams(directory)
             await sockets[own.id].start(own.address)
-            links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
+            links[own.id] = ReservationLink(sockets[own.id], rng=random.Random(own.id))
         keepers = [one.id for one in links["i0"]._keepers(WORK)]
         first, second = (one for one in links if one not in keepers)
         slot = links[first].schedule_retry(
-            "chat", WORK, 0, starts_per_s=40.0, most_s=3.0
+            "chat", WORK, 0, starts_per_s=40.0, max_delay_s=3.0
         )
         async with asyncio.timeout(5):
             while not all(links[one].kept() for one in keepers):
--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -14,15 +14,15 @@
 import pytest
 
 from violethatch.membership import rendezvous
-from violethatch.return_slots import (
-    KEPT_S,
-    LEAST_S,
-    MOST_S,
-    MOST_WORKS,
+from violethatch.start_reservations import (
+    MAX_RESERVATIONS,
+    MAX_RETRY_S,
+    MIN_RETRY_S,
+    RESERVATION_TTL_S,
     SLOT_S,
     ClaimOutcome,
-    ReservedStarts,
-    ReturnSlots,
+    ReservationStore,
+    RetrySlots,
 )
 
 
@@ -78,8 +78,8 @@
 def replay(count, seed):
     """Refuse callers in one second; let them return to instances of their zones."""
     rng = random.Random(seed)
-    slots = [ReturnSlots(rng=rng) for _ in range(count)]
-    kept = [ReservedStarts() for _ in range(count)]
+    slots = [RetrySlots(rng=rng) for _ in range(count)]
+    kept = [ReservationStore() for _ in range(count)]
     callers = [Refused(number, rng) for number in range(REFUSED)]
     done = Replay(callers, *(collections.Counter() for _ in range(3)))
     coming = collections.defaultdict(list)
@@ -94,13 +94,13 @@
         slot = slots[instance].reserve(
             caller.priority,
             starts_per_s=room_a_s(now_s) / count,
-            most_s=(caller.until_s - now_s) / 3,
+            max_delay_s=(caller.until_s - now_s) / 3,
             now_s=now_s,
         )
         if slot.is_reserved:
             done.reserved[int(slot.at_s // SLOT_S)] += 1
             for one in keepers(caller):
-                one.keep(caller.work, slot.at_s, now_s=now_s)
+                one.add(caller.work, slot.at_s, now_s=now_s)
         if caller.first is None:
             caller.refused_s, caller.first = now_s, slot
             caller.first_instance = instance
@@ -253,7 +253,7 @@
 
 def slots_of(seed=1):
     """Return the slots of one instance."""
-    return ReturnSlots(rng=random.Random(seed))
+    return RetrySlots(rng=random.Random(seed))
 
 
 class TestReturnSlots:
@@ -262,10 +262,10 @@
         """Starts that remain are early enough for who is refused a moment later."""
         slots = slots_of(seed)
         less = [
-            slots.reserve(one, starts_per_s=20.0, most_s=3.0, now_s=100.0)
+            slots.reserve(one, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
             for one in (2, 1, 2)
         ]
-        urgent = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.1)
+        urgent = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.1)
         assert urgent.is_reserved
         assert all(urgent.at_s < one.at_s for one in less)
 
@@ -273,9 +273,9 @@
         """The last starts are not given to less urgent callers meanwhile."""
         slots = slots_of()
         for _ in range(10):
-            slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.0)
-        less = slots.reserve(2, starts_per_s=20.0, most_s=3.0, now_s=100.1)
-        urgent = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.2)
+            slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
+        less = slots.reserve(2, starts_per_s=20.0, max_delay_s=3.0, now_s=100.1)
+        urgent = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.2)
         assert urgent.is_reserved
         assert urgent.at_s < less.at_s
 
@@ -283,19 +283,23 @@
         """Nothing is left to urgent callers where none of them is refused."""
         slots = slots_of()
         told = [
-            slots.reserve(12, starts_per_s=40.0, most_s=3.0, now_s=100.0 + n / 10)
+            slots.reserve(12, starts_per_s=40.0, max_delay_s=3.0, now_s=100.0 + n / 10)
             for n in range(20)
         ]
         assert told[-1].at_s - 101.9 < 1.0
 
-    @pytest.mark.parametrize("most_s", [0.0, 0.4, -1.0, 0.5, 1.0, 3.0, 60.0, math.inf])
-    def test_bounds_of_the_time(self, most_s):
+    @pytest.mark.parametrize(
+        "max_delay_s", [0.0, 0.4, -1.0, 0.5, 1.0, 3.0, 60.0, math.inf]
+    )
+    def test_bounds_of_the_time(self, max_delay_s):
         """It is neither too early for a start nor beyond the caller's time."""
         slots = slots_of()
         for _ in range(200):
-            slot = slots.reserve(0, starts_per_s=40.0, most_s=most_s, now_s=100.0)
-            latest_s = max(LEAST_S, min(MOST_S, most_s))
-            assert slot.at_s - 100.0 >= LEAST_S - 1e-9
+            slot = slots.reserve(
+                0, starts_per_s=40.0, max_delay_s=max_delay_s, now_s=100.0
+            )
+            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, max_delay_s))
+            assert slot.at_s - 100.0 >= MIN_RETRY_S - 1e-9
             assert slot.at_s - 100.0 <= latest_s + 1e-9
         assert not slot.is_reserved
         assert slot.at_s == pytest.approx(100.0 + latest_s)
@@ -304,8 +308,8 @@
     def test_no_room(self, starts_per_s):
         """Nothing is reserved of a room that is gone or unknown."""
         slots = slots_of()
-        slots.reserve(0, starts_per_s=9.0, most_s=3.0, now_s=99.0)
-        slot = slots.reserve(0, starts_per_s=starts_per_s, most_s=2.0, now_s=100.0)
+        slots.reserve(0, starts_per_s=9.0, max_delay_s=3.0, now_s=99.0)
+        slot = slots.reserve(0, starts_per_s=starts_per_s, max_delay_s=2.0, now_s=100.0)
         assert slot == (102.0, False)
 
     @pytest.mark.parametrize("seed", range(20))
@@ -318,7 +322,7 @@
             slot = slots.reserve(
                 rng.randrange(3),
                 starts_per_s=rng.choice((0.0, 4.0, 8.0, 12.0)),
-                most_s=3.0,
+                max_delay_s=3.0,
                 now_s=100.0 + n / 100,
             )
             if slot.is_reserved:
@@ -331,10 +335,10 @@
         """What was told before is forgotten, and counted until then."""
         slots = slots_of()
         for _ in range(50):
-            slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.0)
+            slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
         assert 5 <= slots.reserved(now_s=100.0) <= 25
         assert slots.reserved(now_s=104.0) == 0
-        slot = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=1e7)
+        slot = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=1e7)
         assert slot.is_reserved
         assert slots.reserved(now_s=1e7) == 1
 
@@ -344,8 +348,8 @@
 
 def kept_at(at_s):
     """Return reservations with one of the work."""
-    kept = ReservedStarts()
-    kept.keep(WORK, at_s, now_s=100.0)
+    kept = ReservationStore()
+    kept.add(WORK, at_s, now_s=100.0)
     return kept
 
 
@@ -366,7 +370,7 @@
 
     def test_reservation_expires(self):
         """It doesn't add to the room long after its time."""
-        late_s = 101.0 + KEPT_S
+        late_s = 101.0 + RESERVATION_TTL_S
         assert kept_at(101.0).claim(WORK, now_s=late_s - 0.01).outcome == "due"
         assert kept_at(101.0).claim(WORK, now_s=late_s).outcome == "unknown"
         assert kept_at(101.0).reserved(now_s=late_s) == 0
@@ -374,24 +378,24 @@
     def test_copy_that_comes_late(self):
         """Neither a used reservation nor its time is renewed by it."""
         kept = kept_at(101.0)
-        kept.keep(WORK, 101.2, now_s=100.2)
+        kept.add(WORK, 101.2, now_s=100.2)
         assert kept.claim(WORK, now_s=101.0).outcome is ClaimOutcome.DUE
-        kept.keep(WORK, 101.3, now_s=101.1)
+        kept.add(WORK, 101.3, now_s=101.1)
         assert kept.claim(WORK, now_s=101.3).outcome is ClaimOutcome.UNKNOWN
 
     def test_next_reservation_of_the_work(self):
         """One that is refused again after its start has another."""
         kept = kept_at(101.0)
         kept.claim(WORK, now_s=101.0)
-        kept.keep(WORK, 101.0 + LEAST_S, now_s=101.0)
+        kept.add(WORK, 101.0 + MIN_RETRY_S, now_s=101.0)
         assert kept.claim(WORK, now_s=101.6).outcome is ClaimOutcome.DUE
 
     def test_memory_is_bounded(self):
         """Works without number push out the oldest only."""
-        kept = ReservedStarts()
-        for n in range(2 * MOST_WORKS):
-            kept.keep(f"{n:032x}", 101.0, now_s=100.0)
-        assert kept.reserved(now_s=100.0) == MOST_WORKS
+        kept = ReservationStore()
+        for n in range(2 * MAX_RESERVATIONS):
+            kept.add(f"{n:032x}", 101.0, now_s=100.0)
+        assert kept.reserved(now_s=100.0) == MAX_RESERVATIONS
         assert kept.claim(f"{0:032x}", now_s=101.0).outcome == "unknown"
-        last = f"{2 * MOST_WORKS - 1:032x}"
+        last = f"{2 * MAX_RESERVATIONS - 1:032x}"
         assert kept.claim(last, now_s=101.0).outcome == "due"
