--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -12,9 +12,9 @@
 from . import clocks
 from ._flow_control import FlowController
 from .backends import BackendServer, BackendTable
+from .capacity import Room, Targets, estimate_capacity
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
-from .capacity import Room, Targets, estimate_capacity
 from .local_paths import FULL_UTILIZATION, LocalFirstSearch
 from .membership import rendezvous
 from .path_shares import (
@@ -30,7 +30,7 @@
 from .pipe_share import PipeShare
 from .runner_health import RunnerHealth
 from .slow_runners import SlowRunners
-from .stream_loads import StreamLoads, fullness_added
+from .stream_loads import StreamLoads, added_utilization
 
 
 #: Fraction of its slots from which a first runner counts as having none left.  Its load
@@ -242,7 +242,7 @@
             and server.id not in step
         ]
         firsts.sort(
-            key=lambda server: self._loads.fullness(server, engine, now_s=now_s)
+            key=lambda server: self._loads.utilization(server, engine, now_s=now_s)
         )
         candidates = {
             server.id: server for server in firsts[: max(2, len(firsts) // 2)]
@@ -349,7 +349,7 @@
     def first_server_utilization(self, service: ServiceSpec, path: Path) -> float:
         """Return the utilization of a path's first runner."""
         assert service.engine is not None
-        return self._loads.fullness(path.first, service.engine, now_s=clocks.now_s())
+        return self._loads.utilization(path.first, service.engine, now_s=clocks.now_s())
 
     def record_stream_start(self) -> None:
         """Record a stream that this instance starts."""
@@ -395,7 +395,7 @@
         return frozenset(
             server.id
             for server in layer_map.first_servers
-            if self._loads.slots_taken(server, now_s=now_s) >= _SLOTS_EXHAUSTED
+            if self._loads.slot_utilization(server, now_s=now_s) >= _SLOTS_EXHAUSTED
         )
 
     def _search_input(
@@ -406,7 +406,7 @@
             excluded,
             current_path,
             self._slow_runners.slow(now_s=now_s),
-            self._loads.pipe_fullness(now_s=now_s),
+            self._loads.zone_link_utilization(now_s=now_s),
         )
 
     def _shared_path(
@@ -433,7 +433,7 @@
         self, first_server: BackendServer, maps: _LayerMaps, *, now_s: float
     ) -> bool:
         """Return whether a first runner has become full since the assignment."""
-        utilization = self._loads.fullness(
+        utilization = self._loads.utilization(
             first_server, maps.all_zones.engine, now_s=now_s
         )
         return utilization >= FULL_UTILIZATION
@@ -472,7 +472,7 @@
             # A request that moves stays in the zone of its KV cache if possible.
             is_local_fast=True if first_server is not None else None,
         )
-        utilization = self._loads.fullness_of(maps.all_zones, now_s=now_s)
+        utilization = self._loads.utilization_by_server(maps.all_zones, now_s=now_s)
         return assign_paths(
             search.find, utilization, added_utilization=added_utilization, parts=parts
         )
@@ -488,7 +488,7 @@
         """
         if path.first.availability_zone != self._zone:
             streams *= max(1.0, self._instances() / self.zone_position().instances)
-        return fullness_added(path, engine, streams=streams)
+        return added_utilization(path, engine, streams=streams)
 
     def _path_from(
         self,
@@ -526,7 +526,7 @@
         """Return the path, or one without zone hops if the link has no capacity."""
         if not path.zone_hops or self._may_use_zone_link(path, maps, now_s=now_s):
             return path
-        utilization = self._loads.fullness_of(maps.all_zones, now_s=now_s)
+        utilization = self._loads.utilization_by_server(maps.all_zones, now_s=now_s)
         return self._find(
             maps.all_zones,
             search_input,
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -67,7 +67,7 @@
         load = ServerTotals(30, 30_000.0 * 20)
         report = {server_number(f"n{n}-{s}"): load for n in (0, 1) for s in range(4)}
         for routing in routings:
-            routing.loads.take_others(
+            routing.loads.update_others(
                 LoadTotals(38, 0.0, report, age_s=1.2), now_s=clocks.now_s()
             )
         counts = collections.Counter(
--- a/tests/test_path_shares.py
+++ b/tests/test_path_shares.py
@@ -26,7 +26,7 @@
     select_path,
 )
 from violethatch.paths import LayerMap
-from violethatch.stream_loads import fullness_added
+from violethatch.stream_loads import added_utilization
 
 
 #: Three equal chains.
@@ -43,7 +43,7 @@
     return assign_paths(
         lambda projected: MAP.find(zone="z1", utilization=projected, excluded=excluded),
         utilization or {},
-        added_utilization=lambda path: fullness_added(
+        added_utilization=lambda path: added_utilization(
             path, engine(), streams=streams / MIN_PARTS
         ),
     )
@@ -93,7 +93,7 @@
             {"c0-0": percent / 100, "c1-0": 0.0, "c2-0": 0.0}
         )
         for path in paths:
-            added = fullness_added(path, engine(), streams=streams / MIN_PARTS)
+            added = added_utilization(path, engine(), streams=streams / MIN_PARTS)
             added_to_first = added[path.first.id]
             projected[path.first.id] += added_to_first
         if "c0-0" in {path.first.id for path in paths}:
