--- a/src/violethatch/room.py
+++ b/src/violethatch/room.py
@@ -1,15 +1,15 @@
 # SPDX-License-Identifier: MIT
-"""The capacity of an engine's usable runners, for streams that stay within target.
+"""Estimates the capacity of an engine's usable runners for streams within target.
 
-Load pattern: groups of runners are lost while demand surges.  How much the rest
-serves follows from who holds which layers, and has to be known at once, before
-any stream is late.
+Load pattern: groups of runners are lost while demand surges.  The capacity of the
+remaining runners depends on the layers that each holds, and is needed before any
+stream is late.
 
-The streams of a zone are bounded by the layers with the least KV cache.  They are
-laid onto the zone's runners in strands, each of which passes the same runners; the
-engine's formulas then give a strand's first event and gaps by how full it is.
-What zones hold beyond their own bound is joined across zones as far as the pipe
-between them carries it.
+The layers with the least KV cache bound the streams of a zone.  These are assigned
+to the zone's runners in groups that pass the same runners; the engine model gives
+the times of a group's first event and gaps at a utilization.  KV cache that zones
+have in excess of their own bound is combined across zones, as far as the bandwidth
+of the link between them allows.
 
 .. versionadded:: 26.5.0
 """
@@ -32,22 +32,22 @@
 
 
 _MS_PER_S = 1000.0
-#: Halvings in the search for a strand's fill; 10 leave a thousandth.
-_FILL_HALVINGS = 10
-#: A zone's strands are bounded by this or by the number of runners, if that is larger:
-#: the work stays linear where ranges overlap in many ways.  The widest are kept; the
+#: Steps of the binary search for a group's utilization; 10 are exact to a thousandth.
+_SEARCH_STEPS = 10
+#: A zone has at most this number of groups, or as many as runners if that is more:
+#: the work stays linear where ranges overlap in many ways.  The largest are kept; the
 #: reference fleets have up to 36 with 99 runners.
-_LEAST_STRANDS = 16
-#: Below this number of streams a strand is what rounding has left over.
-_ROUNDING = 1e-6
+_MIN_GROUP_LIMIT = 16
+#: Fewer streams than this are a rounding error.
+_EPSILON = 1e-6
 
 
 class Targets(NamedTuple):
-    """What callers need of a stream.
+    """The latency targets of a stream.
 
     Attributes:
         first_event_s: The time to the first event, in seconds.
-        gap_s: The time between events, in seconds; 0 if the routes declare none.
+        gap_s: The time between events, in seconds; 0 if the routes set no target.
 
     .. versionadded:: 26.5.0
     """
@@ -57,14 +57,14 @@
 
 
 class Room(NamedTuple):
-    """What usable runners can hold and start, with all streams within target.
+    """The streams that usable runners can run and start within target.
 
     Attributes:
         streams: Concurrent streams.
         starts_per_s: Streams per second, in steady state.
-        tokens_per_s: Tokens of answers per second.
-        stream_s: The duration of a typical stream at that fill, in seconds; 0 if
-            there is no room.
+        tokens_per_s: Generated tokens per second.
+        stream_s: The duration of a typical stream at that utilization, in seconds;
+            0 without capacity.
 
     .. versionadded:: 26.5.0
     """
@@ -76,60 +76,60 @@
 
 
 class _Runner(NamedTuple):
-    """A usable runner; times are for one layer."""
+    """A usable runner, with its times per layer."""
 
     id: str
     zone: str
     first: int
     end: int
     slots: float
-    #: Streams whose KV cache it holds over its whole range.
+    #: Streams whose KV cache fits its whole range of layers.
     streams: float
     step_ms: float
-    writer_ms: float
-    read_ms: float
+    sequence_ms: float
+    prefill_ms: float
 
 
-class _Column(NamedTuple):
-    """A segment, and by runner's id the streams that it can still take there."""
+class _SegmentCapacity(NamedTuple):
+    """A segment, and its unassigned streams by the runner's id."""
 
     layers: LayerRange
     free: dict[str, float]
 
     @property
-    def width(self) -> float:
-        """All streams that it can still take."""
+    def streams(self) -> float:
+        """The unassigned streams of all runners."""
         return sum(self.free.values())
 
 
-class _Visit(NamedTuple):
-    """A runner that streams have come to, at their first layer there."""
+class _Hop(NamedTuple):
+    """A runner on a path, and the first layer that it computes."""
 
     runner_id: str
     first_layer: int
-    before: _Visit | None
+    previous: _Hop | None
 
 
-class _Flow(NamedTuple):
-    """Streams that have come through some segments on the same runners."""
+class _PartialGroup(NamedTuple):
+    """Streams with the same runners in the segments assigned so far."""
 
     streams: float
-    last: _Visit | None
+    last_hop: _Hop | None
 
 
-#: A runner, and how many layers a strand's streams pass there.
-_Part = tuple[_Runner, int]
+#: A runner, and the number of layers that it computes for a group.
+_PathPart = tuple[_Runner, int]
 
 
-class _Strand(NamedTuple):
+class _StreamGroup(NamedTuple):
     """Streams that pass the same runners, first layer to last."""
 
     streams: float
-    parts: tuple[_Part, ...]
+    parts: tuple[_PathPart, ...]
 
 
 class _Times(NamedTuple):
-    """A strand's times when it is filled to some part."""
+    """A group's times at some utilization."""
 
     first_event_ms: float
     token_ms: float
@@ -137,26 +137,26 @@
 
 
 class _Cost(NamedTuple):
-    """What a strand's times are made of.
+    """The terms of a group's times.
 
     Attributes:
-        streams: Concurrent streams when it is full.
-        hop_ms: Hops of one token.
-        step_ms: Steps of one token without other writers.
-        writers_ms: What the writers of a full strand add to them.
-        read_ms: Reading a usual prompt.
-        reading_ms: Reading by a stream's runners for all their streams, during a
-            stream's time.
-        pipe_ms: How long a usual prompt takes up the pipe between zones.
+        streams: Concurrent streams at full utilization.
+        hop_ms: Network time of one token.
+        step_ms: Compute time of one token with an empty batch.
+        batch_ms: Added compute time of one token in the batches of full utilization.
+        prefill_ms: Prefill of a typical prompt.
+        total_prefill_ms: Prefill by a stream's runners for all of their streams,
+            during one stream.
+        link_ms: Time for which a typical prompt occupies the link between zones.
     """
 
     streams: float
     hop_ms: float
     step_ms: float
-    writers_ms: float
-    read_ms: float
-    reading_ms: float
-    pipe_ms: float
+    batch_ms: float
+    prefill_ms: float
+    total_prefill_ms: float
+    link_ms: float
 
 
 def room(
@@ -166,28 +166,33 @@
     paces: Mapping[str, float],
     targets: Targets,
 ) -> Room:
-    """Return how many streams the usable runners hold and start within target.
+    """Return the streams that the usable runners can run and start within target.
 
     Args:
         layer_map: The runners of the service, in all zones.
         left_out: Ids of runners that are not usable.
-        paces: By id, how many times longer slow runners take for a step.
-        targets: What callers need; a time that is not positive bounds nothing.
+        paces: By id, the factor by which a slow runner's steps take longer.
+        targets: The latency targets; a time that is not positive is no limit.
 
     .. versionadded:: 26.5.0
     """
     engine = layer_map.engine
-    usable = [one for one in layer_map.holders.values() if one.id not in left_out]
-    runners = {one.id: one for one in _runners(usable, engine, paces)}
+    usable = [
+        server for server in layer_map.holders.values() if server.id not in left_out
+    ]
+    runners = {runner.id: runner for runner in _runners(usable, engine, paces)}
     by_zone: defaultdict[str, list[_Runner]] = defaultdict(list)
     for runner in runners.values():
         by_zone[runner.zone].append(runner)
-    zones = [_columns(held, engine.layer_count) for _, held in sorted(by_zone.items())]
-    strands = [strand for columns in zones for strand in _fill(columns, runners)]
+    zones = [
+        _segment_capacities(members, engine.layer_count)
+        for _, members in sorted(by_zone.items())
+    ]
+    groups = [group for segments in zones for group in _assign(segments, runners)]
     if len(zones) > 1:
-        across = _fill(_across(zones), runners)
-        strands += _limited_by_pipe(across, engine, targets)
-    rates = [_strand_room(cost, engine, targets) for cost in _costs(strands, engine)]
+        cross_zone = _assign(_cross_zone_segments(zones), runners)
+        groups += _limit_by_zone_link(cross_zone, engine, targets)
+    rates = [_group_capacity(cost, engine, targets) for cost in _costs(groups, engine)]
     streams = sum(count for count, _ in rates)
     starts_per_s = sum(starts for _, starts in rates)
     if starts_per_s <= 0:
@@ -199,9 +204,9 @@
 def _runners(
     servers: Iterable[BackendServer], engine: EngineSpec, paces: Mapping[str, float]
 ) -> list[_Runner]:
-    """Return runners with their times, the quickest first."""
-    # A stream holds its prompt and on average half of its answer.
-    held_tokens = engine.usual_prompt_tokens + engine.usual_answer_tokens / 2
+    """Return runners with their times, the fastest first."""
+    # A stream caches its prompt and on average half of its answer.
+    cached_tokens = engine.usual_prompt_tokens + engine.usual_answer_tokens / 2
     layer_ms = {
         name: (
             engine.step_time_ms(kind, 1, batch_size=0.0),
@@ -211,221 +216,251 @@
         for name, kind in engine.kinds.items()
     }
     runners = []
-    for one in servers:
-        assert one.layers is not None
-        step_ms, step_of_one_ms, read_ms = layer_ms[one.kind]
-        pace = paces.get(one.id, 1.0)
-        kv_tokens = engine.kv_capacity_tokens(engine.kinds[one.kind], one.layers.size)
+    for server in servers:
+        assert server.layers is not None
+        step_ms, single_step_ms, prefill_ms = layer_ms[server.kind]
+        slowdown = paces.get(server.id, 1.0)
+        kv_tokens = engine.kv_capacity_tokens(
+            engine.kinds[server.kind], server.layers.size
+        )
         runners.append(
             _Runner(
-                id=one.id,
-                zone=one.availability_zone,
-                first=one.layers.first,
-                end=one.layers.end,
-                slots=float(max(1, one.slots)),
-                streams=kv_tokens / max(1.0, held_tokens),
-                step_ms=step_ms * pace,
-                writer_ms=(step_of_one_ms - step_ms) * pace,
-                read_ms=read_ms * pace,
+                id=server.id,
+                zone=server.availability_zone,
+                first=server.layers.first,
+                end=server.layers.end,
+                slots=float(max(1, server.slots)),
+                streams=kv_tokens / max(1.0, cached_tokens),
+                step_ms=step_ms * slowdown,
+                sequence_ms=(single_step_ms - step_ms) * slowdown,
+                prefill_ms=prefill_ms * slowdown,
             )
         )
-    return sorted(runners, key=lambda one: (one.step_ms, one.id))
-
-
-def _columns(runners: Sequence[_Runner], layer_count: int) -> list[_Column]:
-    """Return a zone's segments with their free streams, first layer to last."""
-    ends = itertools.chain.from_iterable((one.first, one.end) for one in runners)
-    cuts = sorted({0, layer_count, *ends})
-    columns = [_Column(LayerRange(*pair), {}) for pair in itertools.pairwise(cuts)]
-    index = {column.layers.first: n for n, column in enumerate(columns)}
-    for one in runners:
-        for column in columns[index[one.first] : index.get(one.end)]:
-            column.free[one.id] = one.streams
-    begun = (one for one in runners if not one.first)
-    columns[0].free.update((one.id, min(one.streams, one.slots)) for one in begun)
-    return columns
-
-
-def _fill(columns: Sequence[_Column], runners: Mapping[str, _Runner]) -> list[_Strand]:
-    """Take as many streams as fit from columns; return them as strands."""
-    most = max(_LEAST_STRANDS, len(runners))
-    amount = min(column.width for column in columns)
-    flows = [_Flow(amount, None)] if amount > _ROUNDING else []
-    for column in columns:
-        flows = _go_on(flows, column)
-        if len(flows) > most:
-            flows = heapq.nlargest(most, flows, key=_streams_of)
-    layer_count = columns[-1].layers.end
+    return sorted(runners, key=lambda runner: (runner.step_ms, runner.id))
+
+
+def _segment_capacities(
+    runners: Sequence[_Runner], layer_count: int
+) -> list[_SegmentCapacity]:
+    """Return a zone's segments with their unassigned streams, first layer to last."""
+    edges = itertools.chain.from_iterable(
+        (runner.first, runner.end) for runner in runners
+    )
+    boundaries = sorted({0, layer_count, *edges})
+    segments = [
+        _SegmentCapacity(LayerRange(*pair), {})
+        for pair in itertools.pairwise(boundaries)
+    ]
+    index = {segment.layers.first: n for n, segment in enumerate(segments)}
+    for runner in runners:
+        for segment in segments[index[runner.first] : index.get(runner.end)]:
+            segment.free[runner.id] = runner.streams
+    entries = (runner for runner in runners if not runner.first)
+    segments[0].free.update(
+        (runner.id, min(runner.streams, runner.slots)) for runner in entries
+    )
+    return segments
+
+
+def _assign(
+    segments: Sequence[_SegmentCapacity], runners: Mapping[str, _Runner]
+) -> list[_StreamGroup]:
+    """Assign as many streams as fit to the segments' runners; return their groups."""
+    max_groups = max(_MIN_GROUP_LIMIT, len(runners))
+    amount = min(segment.streams for segment in segments)
+    groups = [_PartialGroup(amount, None)] if amount > _EPSILON else []
+    for segment in segments:
+        groups = _assign_segment(groups, segment)
+        if len(groups) > max_groups:
+            groups = heapq.nlargest(max_groups, groups, key=_group_size)
+    layer_count = segments[-1].layers.end
     return [
-        _Strand(streams, _parts(last, runners, layer_count)) for streams, last in flows
+        _StreamGroup(streams, _path_parts(last_hop, runners, layer_count))
+        for streams, last_hop in groups
     ]
 
 
-def _streams_of(flow: _Flow) -> float:
-    """Sort key of flows."""
-    return flow.streams
-
-
-def _go_on(flows: Iterable[_Flow], column: _Column) -> list[_Flow]:
-    """Lead flows through a column; what can't stay goes to the quickest runners."""
-    free = column.free
-    gone_on: list[_Flow] = []
-    moving: list[_Flow] = []
-    for flow in flows:
-        streams, last = flow
-        left = free.get(last.runner_id, 0.0) if last else 0.0
-        if last and streams <= left:
-            free[last.runner_id] = left - streams
-            gone_on.append(flow)
-        elif last and left > _ROUNDING:
-            free[last.runner_id] = 0.0
-            gone_on.append(_Flow(left, last))
-            moving.append(_Flow(streams - left, last))
+def _group_size(group: _PartialGroup) -> float:
+    """Sort key of groups."""
+    return group.streams
+
+
+def _assign_segment(
+    groups: Iterable[_PartialGroup], segment: _SegmentCapacity
+) -> list[_PartialGroup]:
+    """Assign groups in a segment: to their last runner, the excess to the fastest."""
+    free = segment.free
+    assigned: list[_PartialGroup] = []
+    excess: list[_PartialGroup] = []
+    for group in groups:
+        streams, last_hop = group
+        available = free.get(last_hop.runner_id, 0.0) if last_hop else 0.0
+        if last_hop and streams <= available:
+            free[last_hop.runner_id] = available - streams
+            assigned.append(group)
+        elif last_hop and available > _EPSILON:
+            free[last_hop.runner_id] = 0.0
+            assigned.append(_PartialGroup(available, last_hop))
+            excess.append(_PartialGroup(streams - available, last_hop))
         else:
-            moving.append(flow)
-    if moving:
-        gone_on += _moved(moving, column)
-    return gone_on
-
-
-def _moved(moving: list[_Flow], column: _Column) -> list[_Flow]:
-    """Return flows on the quickest runners that have streams free."""
-    moved: list[_Flow] = []
-    first_layer = column.layers.first
-    for runner_id, left in column.free.items():
-        while left > _ROUNDING and moving:
-            streams, last = moving.pop()
-            taken = min(streams, left)
-            left -= taken
-            column.free[runner_id] = left
-            moved.append(_Flow(taken, _Visit(runner_id, first_layer, last)))
-            if streams - taken > _ROUNDING:
-                moving.append(_Flow(streams - taken, last))
-        if not moving:
+            excess.append(group)
+    if excess:
+        assigned += _assign_to_fastest(excess, segment)
+    return assigned
+
+
+def _assign_to_fastest(
+    pending: list[_PartialGroup], segment: _SegmentCapacity
+) -> list[_PartialGroup]:
+    """Assign groups to the fastest runners with unassigned streams."""
+    assigned: list[_PartialGroup] = []
+    first_layer = segment.layers.first
+    for runner_id, available in segment.free.items():
+        while available > _EPSILON and pending:
+            streams, last_hop = pending.pop()
+            amount = min(streams, available)
+            available -= amount
+            segment.free[runner_id] = available
+            assigned.append(
+                _PartialGroup(amount, _Hop(runner_id, first_layer, last_hop))
+            )
+            if streams - amount > _EPSILON:
+                pending.append(_PartialGroup(streams - amount, last_hop))
+        if not pending:
             break
-    return moved
+    return assigned
 
 
-def _across(zones: Sequence[Sequence[_Column]]) -> list[_Column]:
-    """Return, by segment, what the zone has left that crossing streams pass there.
+def _cross_zone_segments(
+    zones: Sequence[Sequence[_SegmentCapacity]],
+) -> list[_SegmentCapacity]:
+    """Return, by segment, the unassigned streams of the zone for cross-zone paths.
 
-    They are as many as the zones allow, and change zone as late as they can.
+    Their number is the maximum that the zones allow; they change zone as late as
+    possible.
     """
-    cuts = sorted({one.layers.first for columns in zones for one in columns})
-    cuts.append(zones[0][-1].layers.end)
-    held = [_by_cut(columns, cuts) for columns in zones]
-    widths = [[width for _, width in one] for one in held]
-    most = min(map(max, zip(*widths, strict=True)))
-    chosen: list[_Column] = []
-    while len(chosen) < len(cuts) - 1:
+    boundaries = sorted(
+        {segment.layers.first for segments in zones for segment in segments}
+    )
+    boundaries.append(zones[0][-1].layers.end)
+    split_zones = [_split_at(segments, boundaries) for segments in zones]
+    zone_streams = [[streams for _, streams in zone] for zone in split_zones]
+    max_streams = min(map(max, zip(*zone_streams, strict=True)))
+    chosen: list[_SegmentCapacity] = []
+    while len(chosen) < len(boundaries) - 1:
         start = len(chosen)
-        ends = [_stretch_end(one, start, most) for one in widths]
-        zone = held[ends.index(max(ends))]
+        ends = [_run_end(counts, start, max_streams) for counts in zone_streams]
+        zone = split_zones[ends.index(max(ends))]
         chosen += [
-            _Column(LayerRange(cuts[n], cuts[n + 1]), dict(zone[n][0].free))
+            _SegmentCapacity(
+                LayerRange(boundaries[n], boundaries[n + 1]), dict(zone[n][0].free)
+            )
             for n in range(start, max(ends))
         ]
     return chosen
 
 
-def _by_cut(
-    columns: Sequence[_Column], cuts: Sequence[int]
-) -> list[tuple[_Column, float]]:
-    """Return a zone's column and its width for each segment between cuts."""
-    held = []
-    for column in columns:
-        first, end = (bisect.bisect_left(cuts, layer) for layer in column.layers)
-        held += [(column, column.width)] * (end - first)
-    return held
+def _split_at(
+    segments: Sequence[_SegmentCapacity], boundaries: Sequence[int]
+) -> list[tuple[_SegmentCapacity, float]]:
+    """Return a zone's segment, and its streams, for each range between boundaries."""
+    split = []
+    for segment in segments:
+        first, end = (bisect.bisect_left(boundaries, layer) for layer in segment.layers)
+        split += [(segment, segment.streams)] * (end - first)
+    return split
 
 
-def _stretch_end(widths: Sequence[float], start: int, least: float) -> int:
-    """Return the first segment from some one on that is narrower than the least."""
-    narrow = (n for n in range(start, len(widths)) if widths[n] < least)
-    return next(narrow, len(widths))
+def _run_end(counts: Sequence[float], start: int, min_streams: float) -> int:
+    """Return the index, from start on, of the first segment below the minimum."""
+    below = (n for n in range(start, len(counts)) if counts[n] < min_streams)
+    return next(below, len(counts))
 
 
-def _parts(
-    last: _Visit | None, runners: Mapping[str, _Runner], layer_count: int
-) -> tuple[_Part, ...]:
-    """Return the parts of a strand, first to last, from its last visit."""
-    parts: list[_Part] = []
+def _path_parts(
+    last_hop: _Hop | None, runners: Mapping[str, _Runner], layer_count: int
+) -> tuple[_PathPart, ...]:
+    """Return the parts of a path in order, from its last hop."""
+    parts: list[_PathPart] = []
     end = layer_count
-    while last is not None:
-        parts.append((runners[last.runner_id], end - last.first_layer))
-        end = last.first_layer
-        last = last.before
+    while last_hop is not None:
+        parts.append((runners[last_hop.runner_id], end - last_hop.first_layer))
+        end = last_hop.first_layer
+        last_hop = last_hop.previous
     return tuple(reversed(parts))
 
 
-def _costs(strands: Sequence[_Strand], engine: EngineSpec) -> list[_Cost]:
-    """Return what strands cost when all of them are full."""
-    writers: defaultdict[str, float] = defaultdict(float)
-    reading_ms: defaultdict[str, float] = defaultdict(float)
-    steps_ms = [sum([n * r.step_ms for r, n in parts]) for _, parts in strands]
-    for (streams, parts), step_ms in zip(strands, steps_ms, strict=True):
+def _costs(groups: Sequence[_StreamGroup], engine: EngineSpec) -> list[_Cost]:
+    """Return the costs of groups with all of them at full utilization."""
+    batch_sizes: defaultdict[str, float] = defaultdict(float)
+    prefill_ms: defaultdict[str, float] = defaultdict(float)
+    steps_ms = [sum([n * r.step_ms for r, n in parts]) for _, parts in groups]
+    for (streams, parts), step_ms in zip(groups, steps_ms, strict=True):
         for runner, layers in parts:
-            # A stream is at one runner at a time: it writes there for its part of
-            # the token time.
-            writers[runner.id] += streams * layers * runner.step_ms / step_ms
-            reading_ms[runner.id] += streams * layers * runner.read_ms
+            # A stream is in the batch of one runner at a time, for the runner's
+            # fraction of the token time.
+            batch_sizes[runner.id] += streams * layers * runner.step_ms / step_ms
+            prefill_ms[runner.id] += streams * layers * runner.prefill_ms
     costs = []
-    for (streams, parts), step_ms in zip(strands, steps_ms, strict=True):
+    for (streams, parts), step_ms in zip(groups, steps_ms, strict=True):
         zones = [runner.zone for runner, _ in parts]
         changes = [pair for pair in itertools.pairwise(zones) if pair[0] != pair[1]]
         delay_ms = sum(engine.delay_ms(*pair) for pair in changes)
-        reading = sum([n * r.step_ms * reading_ms[r.id] for r, n in parts])
+        weighted_ms = sum([n * r.step_ms * prefill_ms[r.id] for r, n in parts])
         costs.append(
             _Cost(
                 streams=streams,
                 hop_ms=len(parts) * HOP_MS + delay_ms,
                 step_ms=step_ms,
-                writers_ms=sum([n * r.writer_ms * writers[r.id] for r, n in parts]),
-                read_ms=sum([n * r.read_ms for r, n in parts]),
-                reading_ms=reading / step_ms,
-                pipe_ms=len(changes) * engine.zone_transfer_ms,
+                batch_ms=sum([n * r.sequence_ms * batch_sizes[r.id] for r, n in parts]),
+                prefill_ms=sum([n * r.prefill_ms for r, n in parts]),
+                total_prefill_ms=weighted_ms / step_ms,
+                link_ms=len(changes) * engine.zone_transfer_ms,
             )
         )
     return costs
 
 
-def _times(cost: _Cost, fill: float, engine: EngineSpec) -> _Times:
-    """Return a strand's times when it is filled to some part.
+def _times(cost: _Cost, utilization: float, engine: EngineSpec) -> _Times:
+    """Return a group's times at some utilization.
 
-    A runner reads prompts in chunks between steps: reading delays steps by its part
-    of the time, and each chunk waits for one step.  An event holds a stride of tokens.
+    A runner prefills prompts in chunks between steps: this delays steps by its
+    fraction of the time, and each chunk waits for one step.  An event has the tokens
+    of one engine step.
     """
     chunks = math.ceil(engine.usual_prompt_tokens / max(1, engine.chunk_tokens))
     passes = chunks + engine.usual_answer_tokens
-    steps_ms = cost.step_ms + fill * cost.writers_ms
-    busy_ms = passes * steps_ms + cost.read_ms
-    idle_ms = passes * cost.hop_ms + cost.pipe_ms
-    slowness = 1.0 / (1.0 - _reading(fill * cost.reading_ms, busy_ms, idle_ms))
-    token_ms = slowness * steps_ms + cost.hop_ms
-    read_ms = slowness * cost.read_ms + chunks * token_ms + cost.pipe_ms
-    first_event_ms = read_ms + engine.tokens_per_step * token_ms
-    stream_ms = read_ms + engine.usual_answer_tokens * token_ms
+    steps_ms = cost.step_ms + utilization * cost.batch_ms
+    busy_ms = passes * steps_ms + cost.prefill_ms
+    idle_ms = passes * cost.hop_ms + cost.link_ms
+    slowdown = 1.0 / (
+        1.0 - _prefill_fraction(utilization * cost.total_prefill_ms, busy_ms, idle_ms)
+    )
+    token_ms = slowdown * steps_ms + cost.hop_ms
+    prefill_ms = slowdown * cost.prefill_ms + chunks * token_ms + cost.link_ms
+    first_event_ms = prefill_ms + engine.tokens_per_step * token_ms
+    stream_ms = prefill_ms + engine.usual_answer_tokens * token_ms
     return _Times(first_event_ms, token_ms, stream_ms)
 
 
-def _reading(reading_ms: float, busy_ms: float, idle_ms: float) -> float:
-    """Return the part of runners' time that reading takes.
+def _prefill_fraction(prefill_ms: float, busy_ms: float, idle_ms: float) -> float:
+    """Return the fraction of the runners' time that prefill takes.
 
-    It is the part p for which all reading during a stream is p times the stream's
-    time: p * (busy / (1 - p) + idle) = reading.  It is below 1.
+    It is the p for which all prefill during a stream is p times the duration of the
+    stream: p * (busy / (1 - p) + idle) = prefill.  It is below 1.
 
     Args:
-        reading_ms: Reading by a stream's runners during its time, for all streams.
-        busy_ms: The part of a stream's time that reading delays.
-        idle_ms: The part that it doesn't.
+        prefill_ms: Prefill by a stream's runners during the stream, for all streams.
+        busy_ms: The part of a stream's time that prefill delays.
+        idle_ms: The remaining part.
     """
-    total_ms = busy_ms + idle_ms + reading_ms
-    root_ms = math.sqrt(total_ms * total_ms - 4.0 * idle_ms * reading_ms)
-    return 2.0 * reading_ms / (total_ms + root_ms)
+    total_ms = busy_ms + idle_ms + prefill_ms
+    root_ms = math.sqrt(total_ms * total_ms - 4.0 * idle_ms * prefill_ms)
+    return 2.0 * prefill_ms / (total_ms + root_ms)
 
 
 def _is_in_target(times: _Times, engine: EngineSpec, targets: Targets) -> bool:
-    """Tell whether first events and gaps are within target."""
+    """Return whether first events and gaps are within target."""
     gap_ms = engine.tokens_per_step * times.token_ms
     return _is_within(times.first_event_ms, targets.first_event_s) and _is_within(
         gap_ms, targets.gap_s
@@ -433,76 +468,80 @@
 
 
 def _is_within(time_ms: float, target_s: float) -> bool:
-    """Tell whether a time is within a target, if there is one."""
+    """Return whether a time is within a target, if there is one."""
     return target_s <= 0 or time_ms <= target_s * _MS_PER_S
 
 
-def _strand_fill(
+def _max_utilization(
     cost: _Cost, full: _Times, engine: EngineSpec, targets: Targets
 ) -> float:
-    """Return the largest part to which a strand fills with its times in target.
+    """Return the maximum utilization of a group at which its times are in target.
 
-    The headroom follows from the targets: both times grow with the fill, so that a
-    strand is full where the first of them reaches its target.
+    No fixed headroom is needed: both times grow with the utilization, so that the
+    first of them to reach its target sets the maximum.
     """
     if _is_in_target(full, engine, targets):
         return 1.0
     low, high = 0.0, 1.0
-    for _ in range(_FILL_HALVINGS):
-        fill = (low + high) / 2
-        if _is_in_target(_times(cost, fill, engine), engine, targets):
-            low = fill
+    for _ in range(_SEARCH_STEPS):
+        utilization = (low + high) / 2
+        if _is_in_target(_times(cost, utilization, engine), engine, targets):
+            low = utilization
         else:
-            high = fill
+            high = utilization
     return low
 
 
-def _strand_room(
+def _group_capacity(
     cost: _Cost, engine: EngineSpec, targets: Targets
 ) -> tuple[float, float]:
-    """Return a strand's concurrent streams, and its starts per second."""
+    """Return a group's concurrent streams, and its starts per second."""
     times = _times(cost, 1.0, engine)
-    fill = _strand_fill(cost, times, engine, targets)
-    if fill < 1.0:
-        times = _times(cost, fill, engine)
-    streams = fill * cost.streams
+    utilization = _max_utilization(cost, times, engine, targets)
+    if utilization < 1.0:
+        times = _times(cost, utilization, engine)
+    streams = utilization * cost.streams
     return streams, streams * _MS_PER_S / times.stream_ms
 
 
-def _limited_by_pipe(
-    strands: Sequence[_Strand], engine: EngineSpec, targets: Targets
-) -> list[_Strand]:
-    """Return strands that cross zones, as wide as the pipe between zones allows.
+def _limit_by_zone_link(
+    groups: Sequence[_StreamGroup], engine: EngineSpec, targets: Targets
+) -> list[_StreamGroup]:
+    """Return groups that cross zones, reduced to what the link between zones allows.
 
-    The pipe may be used up to where prompts wait for it (as in an M/D/1 queue) as
-    long as their strand's target for the first event leaves.
+    The link may be used up to the point where the queueing delay of prompts (as in
+    an M/D/1 queue) takes up the slack of the group's first-event target.
     """
-    taken_ms_per_s = 0.0
+    used_ms_per_s = 0.0
     limited = []
-    costs = zip(_costs(strands, engine), strands, strict=True)
-    for cost, strand in sorted(costs, key=lambda one: one[0].pipe_ms):
-        streams, starts_per_s = _strand_room(cost, engine, targets)
+    costs = zip(_costs(groups, engine), groups, strict=True)
+    for cost, group in sorted(costs, key=lambda pair: pair[0].link_ms):
+        streams, starts_per_s = _group_capacity(cost, engine, targets)
         if starts_per_s <= 0:
             continue
-        if cost.pipe_ms > 0:
-            fill = streams / cost.streams
-            first_ms = _times(cost, fill, engine).first_event_ms
-            most = _pipe_part(targets, first_ms, cost.pipe_ms) * _MS_PER_S
-            left = max(0.0, most - taken_ms_per_s) / (starts_per_s * cost.pipe_ms)
-            starts_per_s *= min(1.0, left)
-            taken_ms_per_s += starts_per_s * cost.pipe_ms
-            # Fewer streams than it has space for are also over sooner.
-            stream_ms = _times(cost, fill * min(1.0, left), engine).stream_ms
+        if cost.link_ms > 0:
+            utilization = streams / cost.streams
+            first_ms = _times(cost, utilization, engine).first_event_ms
+            max_ms_per_s = (
+                _max_link_utilization(targets, first_ms, cost.link_ms) * _MS_PER_S
+            )
+            fraction = max(0.0, max_ms_per_s - used_ms_per_s) / (
+                starts_per_s * cost.link_ms
+            )
+            starts_per_s *= min(1.0, fraction)
+            used_ms_per_s += starts_per_s * cost.link_ms
+            # Streams also take less time at a lower utilization.
+            stream_ms = _times(cost, utilization * min(1.0, fraction), engine).stream_ms
             streams = starts_per_s * stream_ms / _MS_PER_S
-        if streams > _ROUNDING:
-            limited.append(_Strand(streams, strand.parts))
+        if streams > _EPSILON:
+            limited.append(_StreamGroup(streams, group.parts))
     return limited
 
 
-def _pipe_part(targets: Targets, first_ms: float, pipe_ms: float) -> float:
-    """Return the part of the pipe's time at which waits use up the target."""
+def _max_link_utilization(targets: Targets, first_ms: float, link_ms: float) -> float:
+    """Return the utilization of the link at which its queueing delay meets the target."""
     if targets.first_event_s <= 0:
         return 1.0
     slack_ms = max(0.0, targets.first_event_s * _MS_PER_S - first_ms)
-    waits = 2.0 * slack_ms / pipe_ms
-    return waits / (1.0 + waits)
+    ratio = 2.0 * slack_ms / link_ms
+    return ratio / (1.0 + ratio)
