--- a/src/violethatch/request_room.py
+++ b/src/violethatch/request_room.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: MIT
-"""Whether an instance has room for the requests of callers that connect to it next.
+"""Decides whether an instance is ready for more connections of callers.
 
-Load pattern: for some seconds a balancer may hand most new connections of a zone to one
-instance, while the others have room; it goes to another one once that one is not ready.
-An instance that has its fill then says so before it has to refuse requests, and takes
-no connection where it would: callers whose request was not read try elsewhere at once.
-Where all have their fill, callers would be turned away from one to the next, so each
-goes on refusing what it can't take, with when to come back.
+Load pattern: a load balancer may route most new connections of a zone to a single
+instance for some seconds, while the others have capacity; it stops once that instance
+is not ready.  A full instance therefore reports itself as not ready before it has to
+reject requests, and accepts no connection at its limit: callers whose request was not
+read retry elsewhere at once.  If all instances are full, this would only send callers
+from one to the next, so each stays ready and rejects the excess with a Retry-After.
 
 .. versionadded:: 26.7.0
 """
@@ -14,17 +14,16 @@
 from __future__ import annotations
 
 
-#: From which share of the requests that it may have at once an instance is full, and up
-#: to which it has room again.
-_FULL_SHARE = 0.75
-_ROOM_SHARE = 0.5
-#: How many times the other instances' mean an instance has to have, to be the one that
-#: most requests come to.
-_SKEW = 2.0
+#: Fractions of the concurrent request limit at which an instance becomes full, and
+#: below which it is ready again; the difference prevents flapping.
+_FULL_FRACTION = 0.75
+_READY_FRACTION = 0.5
+#: An instance has a skewed load above this multiple of the other instances' mean.
+_SKEW_RATIO = 2.0
 
 
 class RequestRoom:
-    """What one instance decides of its room, from check to check.
+    """Readiness of one instance, with hysteresis between checks.
 
     .. versionadded:: 26.7.0
     """
@@ -35,24 +34,24 @@
     def check(
         self, in_flight: int, *, max_requests: int, mean_of_others: float | None
     ) -> bool:
-        """Return whether callers that connect next will be served.
+        """Return whether the instance is ready for new connections.
 
         Args:
-            in_flight: Requests in progress here.
-            max_requests: How many there may be at once.
-            mean_of_others: Requests in progress at each other instance on average, or
-                None if that is not known.
+            in_flight: Requests in flight at this instance.
+            max_requests: The limit on concurrent requests.
+            mean_of_others: The mean number of requests in flight at the other
+                instances, or None if unknown.
         """
-        share = _ROOM_SHARE if self._is_full else _FULL_SHARE
+        fraction = _READY_FRACTION if self._is_full else _FULL_FRACTION
         is_skewed = _is_skewed(in_flight, mean_of_others)
-        self._is_full = is_skewed and in_flight >= share * max_requests
+        self._is_full = is_skewed and in_flight >= fraction * max_requests
         return not self._is_full
 
 
 def may_connect(
     in_flight: int, *, max_requests: int, mean_of_others: float | None
 ) -> bool:
-    """Return whether a new connection is taken, with the arguments of a check.
+    """Return whether to accept a new connection; for arguments, see `check`.
 
     .. versionadded:: 26.7.0
     """
@@ -60,5 +59,5 @@
 
 
 def _is_skewed(in_flight: int, mean_of_others: float | None) -> bool:
-    """Tell whether an instance has far more requests than the others."""
-    return mean_of_others is not None and in_flight > _SKEW * mean_of_others
+    """Return whether an instance has far more requests than the others."""
+    return mean_of_others is not None and in_flight > _SKEW_RATIO * mean_of_others
--- a/src/violethatch/room.py
+++ b/src/violethatch/room.py
@@ -425,8 +425,8 @@
     """Return a group's times at some utilization.
 
     A runner prefills prompts in chunks between steps: this delays steps by its
-    fraction of the time, and each chunk waits for one step.  An event has the tokens
-    of one engine step.
+    fraction of the time, and each chunk waits for one step.  An event has
+    `tokens_per_step` tokens.
     """
     chunks = math.ceil(engine.usual_prompt_tokens / max(1, engine.chunk_tokens))
     passes = chunks + engine.usual_answer_tokens
@@ -477,8 +477,8 @@
 ) -> float:
     """Return the maximum utilization of a group at which its times are in target.
 
-    No fixed headroom is needed: both times grow with the utilization, so that the
-    first of them to reach its target sets the maximum.
+    The headroom follows from the targets: both times grow with the utilization, so
+    that the first of them to reach its target sets the maximum.
     """
     if _is_in_target(full, engine, targets):
         return 1.0
@@ -539,7 +539,7 @@
 
 
 def _max_link_utilization(targets: Targets, first_ms: float, link_ms: float) -> float:
-    """Return the utilization of the link at which its queueing delay meets the target."""
+    """Return the link utilization whose queueing delay meets the target."""
     if targets.first_event_s <= 0:
         return 1.0
     slack_ms = max(0.0, targets.first_event_s * _MS_PER_S - first_ms)
