--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Counts what callers ask for, by priority and workspace, under surges of a few.
+"""Measures offered load by priority and workspace, also if a few workspaces surge.
 
-While runners can't take all that is offered, an instance has to know what all
-instances are offered, and which workspaces it comes from.  Each counts its own
-offers over one second in bounded memory; the counts are added along the tree of
-instances (`load_sums`), in which only the heaviest workspaces are named.
+Under overload, admission at an instance depends on the load offered to all instances
+and on the workspaces that it comes from.  Each instance counts its own offers over
+one second in bounded memory; the counts are aggregated along the tree of instances
+(`load_sums`), with details of the heaviest workspaces only.
 
 .. versionadded:: 26.5.0
 """
@@ -19,53 +19,55 @@
 from typing import NamedTuple, TypeVar
 
 
-#: Over how long offers are counted, in seconds.
+#: The length of the sliding window in which offers are counted, in seconds.
 WINDOW_S = 1.0
-#: The most keys in a datagram: three services of four priorities each.
+#: The maximum number of keys in a datagram: three services of four priorities each.
 MOST_KEYS_SENT = 12
-#: The most workspaces in a datagram, over all keys.
+#: The maximum number of workspaces in a datagram, over all keys.
 MOST_HEAVIEST_SENT = 8
-#: The most workspaces in a sum: one that is ninth at each of three children and at
-#: the instance itself still counts in their sum.
+#: The maximum number of workspaces in a sum: a workspace that is ninth at each of three
+#: children and at the instance itself is still counted in their sum.
 MOST_HEAVIEST_KEPT = 32
-#: The most keys in a sum: five neighbours' datagrams, and some of the instance's own.
+#: The maximum number of keys in a sum: the datagrams of five neighbours, and some of
+#: the instance's own.
 MOST_KEYS_KEPT = 64
-#: How many neighbours are told workspaces in a tick.
-_MOST_TOLD_HEAVIEST = 2
-#: How many entries a slice's counts are reduced to; a rate is too low by at most one
-#: part in this number plus one of all offers, and exact with fewer different ones.
-COUNTS_KEPT = 128
-#: How many entries a slice's counts may have before they are reduced, so that
-#: reducing them costs little per offer.
-_MOST_COUNTS = 2 * COUNTS_KEPT
-#: The window moves in slices of an eighth of a second, half of a tick of the sums.
+#: The number of neighbours that are sent workspaces in a tick.
+_WORKSPACE_RECIPIENTS_PER_TICK = 2
+#: The number of counters to which a slice is reduced; a rate is underestimated by at
+#: most the rate of all offers divided by this number plus one, and exact with fewer
+#: distinct entries.
+MIN_COUNTERS = 128
+#: The number of counters above which a slice is reduced, so that the reduction has a
+#: small amortized cost per offer.
+_MAX_COUNTERS = 2 * MIN_COUNTERS
+#: The window advances in slices of an eighth of a second, half a tick of the sums.
 _SLICES_PER_S = 8
 _WINDOW_SLICES = round(WINDOW_S * _SLICES_PER_S)
 
-#: The priority under which a service's running streams are summed, beside offers:
-#: sums of streams by server are told in turn, and lag where there are many servers.
+#: The priority value under which a service's running streams are summed, in addition
+#: to offers: streams by server are sent in turn, and lag if there are many servers.
 RUNNING = 255
-#: Rates are sent in eighths per second.
+#: Rates are encoded in eighths per second.
 _UNITS_PER_S = 8
-_MOST_UNITS = 0xFFFF
-_MOST_RATE_PER_S = _MOST_UNITS / _UNITS_PER_S
+_MAX_UNITS = 0xFFFF
+_MAX_RATE_PER_S = _MAX_UNITS / _UNITS_PER_S
 #: A key: service, priority, rate.
 _KEY = struct.Struct("<IBH")
-#: A heavy workspace: service, priority, workspace, rate.
-_HEAVY = struct.Struct("<IBIH")
-#: The number of keys.
+#: One of the heaviest workspaces: service, priority, workspace, rate.
+_WORKSPACE = struct.Struct("<IBIH")
+#: The size of the number of keys.
 _COUNT_BYTES = 1
-#: The most bytes of a packed demand.
+#: The maximum size of an encoded demand, in bytes.
 MOST_BYTES = (
-    _COUNT_BYTES + MOST_KEYS_SENT * _KEY.size + MOST_HEAVIEST_SENT * _HEAVY.size
+    _COUNT_BYTES + MOST_KEYS_SENT * _KEY.size + MOST_HEAVIEST_SENT * _WORKSPACE.size
 )
 
-_Item = TypeVar("_Item", bound=Hashable)
-_Ordered = TypeVar("_Ordered", "DemandKey", "tuple[DemandKey, int]")
+_EntryT = TypeVar("_EntryT", bound=Hashable)
+_OrderedT = TypeVar("_OrderedT", "DemandKey", "tuple[DemandKey, int]")
 
 
 class DemandKey(NamedTuple):
-    """What demand is counted by.
+    """The key by which demand is counted.
 
     Attributes:
         service: The number of the service, `load_sums.server_number` of its name.
@@ -79,7 +81,7 @@
 
 
 class Demand(NamedTuple):
-    """What one or several instances are offered.
+    """The load that is offered to one or several instances.
 
     Attributes:
         offers_per_s: By key, all offers per second.
@@ -93,12 +95,12 @@
     heaviest_per_s: Mapping[tuple[DemandKey, int], float]
 
 
-#: What is offered where no service is governed.
+#: The demand of services without admission control.
 NO_DEMAND = Demand({}, {})
 
 
 def total_demand(parts: Iterable[Demand]) -> Demand:
-    """Return the sum of some demands, with the heaviest entries of it.
+    """Return the sum of demands, reduced to its largest entries.
 
     .. versionadded:: 26.5.0
     """
@@ -114,56 +116,60 @@
             offers_per_s[key] = offers_per_s.get(key, 0.0) + rate
         for entry, rate in part.heaviest_per_s.items():
             heaviest_per_s[entry] = heaviest_per_s.get(entry, 0.0) + rate
-    return _limited(offers_per_s, heaviest_per_s)
+    return _limit_entries(offers_per_s, heaviest_per_s)
 
 
 def packed(demand: Demand, *, most_bytes: int = MOST_BYTES) -> bytes:
-    """Return a demand as bytes; without offers there are none.
+    """Encode a demand; one without offers has no bytes.
 
     Args:
-        demand: What is to be packed; rates are rounded to eighths per second, at most
-            8,191.875, and what rounds to 0 is left out.
-        most_bytes: What must not be exceeded.  Keys go before workspaces, of both the
-            largest first.
+        demand: The demand to encode; rates are rounded to eighths per second, capped
+            at 8,191.875, and omitted if they round to 0.
+        most_bytes: The maximum size.  Keys take precedence over workspaces, and
+            larger rates over smaller.
 
     .. versionadded:: 26.5.0
     """
-    left_bytes = most_bytes - _COUNT_BYTES
-    most_keys = min(MOST_KEYS_SENT, left_bytes // _KEY.size)
-    keys = _sendable(demand.offers_per_s, most=most_keys)
-    left_bytes -= len(keys) * _KEY.size
-    most_heaviest = min(MOST_HEAVIEST_SENT, left_bytes // _HEAVY.size)
-    heaviest = _sendable(demand.heaviest_per_s, most=most_heaviest)
-    if not keys and not heaviest:
+    free_bytes = most_bytes - _COUNT_BYTES
+    max_keys = min(MOST_KEYS_SENT, free_bytes // _KEY.size)
+    keys = _encodable(demand.offers_per_s, limit=max_keys)
+    free_bytes -= len(keys) * _KEY.size
+    max_workspaces = min(MOST_HEAVIEST_SENT, free_bytes // _WORKSPACE.size)
+    workspaces = _encodable(demand.heaviest_per_s, limit=max_workspaces)
+    if not keys and not workspaces:
         return b""
     parts = [bytes([len(keys)])]
     parts += [_KEY.pack(*key, units) for key, units in keys]
     parts += [
-        _HEAVY.pack(*key, workspace, units) for (key, workspace), units in heaviest
+        _WORKSPACE.pack(*key, workspace, units)
+        for (key, workspace), units in workspaces
     ]
     return b"".join(parts)
 
 
 def unpacked(data: bytes) -> Demand:
-    """Return a demand from bytes; without any nothing is offered.
+    """Decode a demand; no bytes are a demand without offers.
 
     Raises:
-        ValueError: They are incomplete, or more than a datagram may hold.
+        ValueError: The bytes are incomplete, or exceed the maximum of a datagram.
 
     .. versionadded:: 26.5.0
     """
     if not data:
         return NO_DEMAND
-    heaviest_start = _COUNT_BYTES + data[0] * _KEY.size
-    heaviest_bytes = len(data) - heaviest_start
-    if heaviest_bytes < 0 or heaviest_bytes % _HEAVY.size:
+    workspaces_start = _COUNT_BYTES + data[0] * _KEY.size
+    workspaces_bytes = len(data) - workspaces_start
+    if workspaces_bytes < 0 or workspaces_bytes % _WORKSPACE.size:
         msg = f"{len(data)} bytes with {data[0]} keys are no complete demand"
         raise ValueError(msg)
-    if data[0] > MOST_KEYS_SENT or heaviest_bytes > MOST_HEAVIEST_SENT * _HEAVY.size:
+    if (
+        data[0] > MOST_KEYS_SENT
+        or workspaces_bytes > MOST_HEAVIEST_SENT * _WORKSPACE.size
+    ):
         msg = f"{len(data)} bytes with {data[0]} keys are too large a demand"
         raise ValueError(msg)
-    keys = _KEY.iter_unpack(data[_COUNT_BYTES:heaviest_start])
-    heaviest = _HEAVY.iter_unpack(data[heaviest_start:])
+    keys = _KEY.iter_unpack(data[_COUNT_BYTES:workspaces_start])
+    workspaces = _WORKSPACE.iter_unpack(data[workspaces_start:])
     return Demand(
         {
             DemandKey(service, priority): units / _UNITS_PER_S
@@ -171,66 +177,70 @@
         },
         {
             (DemandKey(service, priority), workspace): units / _UNITS_PER_S
-            for service, priority, workspace, units in heaviest
+            for service, priority, workspace, units in workspaces
         },
     )
 
 
 class DemandFeed:
-    """Packs demand for neighbours, whose datagrams share a number of bytes.
+    """Encodes demand for neighbours whose datagrams share a byte budget.
 
-    Keys go into each datagram, workspaces to one neighbour at a time, in turn: all
-    that are sent fit into it, where a part of them in each datagram would lose the
-    smaller ones along the tree.  Offers without workspaces leave a neighbour with
-    those that it was told before.
+    Each datagram has the keys; workspaces are sent to a few neighbours at a time, in
+    turn, so that the full list fits.  Sending a part of the list in each datagram would
+    lose the smaller ones along the tree.  A neighbour that receives offers without
+    workspaces continues to use those that it received before.
 
     .. versionadded:: 26.5.0
     """
 
     def __init__(self) -> None:
         self._round = 0
-        #: The round in which a neighbour was last told workspaces.
-        self._told_rounds: dict[str, int] = {}
+        #: By neighbour, the round in which it was last sent workspaces.
+        self._last_rounds: dict[str, int] = {}
 
     def pack(
         self, demands: Mapping[str, Demand], *, most_bytes: int
     ) -> dict[str, bytes]:
-        """Return what to tell each neighbour.
+        """Return the encoded demand for each neighbour.
 
         Args:
-            demands: By neighbour, what is to be told.
-            most_bytes: What all of it must not exceed.
+            demands: By neighbour, the demand to send.
+            most_bytes: The maximum total size.
 
         .. versionadded:: 26.5.0
         """
         if not demands:
             return {}
         self._round += 1
-        each_bytes = most_bytes // len(demands)
-        told = {
-            one: packed(Demand(demand.offers_per_s, {}), most_bytes=each_bytes)
-            for one, demand in demands.items()
+        bytes_per_neighbour = most_bytes // len(demands)
+        encoded = {
+            neighbour: packed(
+                Demand(demand.offers_per_s, {}), most_bytes=bytes_per_neighbour
+            )
+            for neighbour, demand in demands.items()
         }
-        offered = [one for one, data in told.items() if data]
-        offered.sort(key=lambda one: self._told_rounds.get(one, 0))
-        left_bytes = most_bytes - sum(map(len, told.values()))
-        for one in offered[:_MOST_TOLD_HEAVIEST]:
-            self._told_rounds[one] = self._round
-            offers_bytes = len(told[one])
-            told[one] = packed(demands[one], most_bytes=offers_bytes + left_bytes)
-            left_bytes -= len(told[one]) - offers_bytes
-        return told
+        candidates = [neighbour for neighbour, data in encoded.items() if data]
+        candidates.sort(key=lambda neighbour: self._last_rounds.get(neighbour, 0))
+        free_bytes = most_bytes - sum(map(len, encoded.values()))
+        for neighbour in candidates[:_WORKSPACE_RECIPIENTS_PER_TICK]:
+            self._last_rounds[neighbour] = self._round
+            keys_bytes = len(encoded[neighbour])
+            encoded[neighbour] = packed(
+                demands[neighbour], most_bytes=keys_bytes + free_bytes
+            )
+            free_bytes -= len(encoded[neighbour]) - keys_bytes
+        return encoded
 
     def forget(self, neighbour: str) -> None:
-        """Forget who is no longer a neighbour.
+        """Discard the state of a former neighbour.
 
         .. versionadded:: 26.5.0
         """
-        self._told_rounds.pop(neighbour, None)
+        self._last_rounds.pop(neighbour, None)
 
 
 class _Slice:
-    """The offers of an eighth of a second."""
+    """Counts of offers in an eighth of a second."""
 
     __slots__ = ("by_key", "by_workspace", "index")
 
@@ -243,11 +253,11 @@
 class DemandCounter:
     """Counts an instance's own offers over the last second.
 
-    Counts are kept by slice of an eighth of a second, in bounded memory.  A rate is
-    never too high, and too low by at most the rate of all offers divided by
-    `COUNTS_KEPT` + 1 (Misra and Gries); it is exact while no slice has more than twice
-    `COUNTS_KEPT` different entries.  Of the slice that is partly older than a second,
-    the part that is not is counted.
+    Counts are stored by slice of an eighth of a second, in bounded memory.  A rate is
+    never overestimated, and underestimated by at most the rate of all offers divided
+    by `MIN_COUNTERS` + 1 (Misra-Gries summary); it is exact while no slice has more
+    than twice `MIN_COUNTERS` distinct entries.  The slice that is partly outside the
+    window counts in proportion to its part inside.
 
     .. versionadded:: 26.5.0
     """
@@ -269,16 +279,16 @@
         index = int(now_s * _SLICES_PER_S)
         newest = self._newest
         if index > newest.index:
-            newest = self._begin(index)
+            newest = self._add_slice(index)
         by_key = newest.by_key
         by_key[key] = by_key.get(key, 0) + 1
-        if len(by_key) > _MOST_COUNTS:
-            newest.by_key = _reduced(by_key)
+        if len(by_key) > _MAX_COUNTERS:
+            newest.by_key = _reduce(by_key)
         by_workspace = newest.by_workspace
         entry = (key, workspace)
         by_workspace[entry] = by_workspace.get(entry, 0) + 1
-        if len(by_workspace) > _MOST_COUNTS:
-            newest.by_workspace = _reduced(by_workspace)
+        if len(by_workspace) > _MAX_COUNTERS:
+            newest.by_workspace = _reduce(by_workspace)
 
     def demand(self, *, now_s: float) -> Demand:
         """Return the offers of the last second.
@@ -291,21 +301,21 @@
         first = now_s * _SLICES_PER_S - _WINDOW_SLICES
         offers_per_s: dict[DemandKey, float] = {}
         heaviest_per_s: dict[tuple[DemandKey, int], float] = {}
-        for one in self._slices:
-            part = min(1.0, one.index + 1 - first)
-            if part <= 0.0:
+        for counted in self._slices:
+            fraction = min(1.0, counted.index + 1 - first)
+            if fraction <= 0.0:
                 continue
-            per_s = part / WINDOW_S
-            for key, count in one.by_key.items():
+            per_s = fraction / WINDOW_S
+            for key, count in counted.by_key.items():
                 offers_per_s[key] = offers_per_s.get(key, 0.0) + count * per_s
-            for entry, count in one.by_workspace.items():
+            for entry, count in counted.by_workspace.items():
                 heaviest_per_s[entry] = heaviest_per_s.get(entry, 0.0) + count * per_s
         if not offers_per_s and not heaviest_per_s:
             return NO_DEMAND
-        return _limited(offers_per_s, heaviest_per_s)
+        return _limit_entries(offers_per_s, heaviest_per_s)
 
-    def _begin(self, index: int) -> _Slice:
-        """Begin a slice, and drop those that have left the window."""
+    def _add_slice(self, index: int) -> _Slice:
+        """Add a slice, and remove those outside the window."""
         self._newest = _Slice(index)
         self._slices.append(self._newest)
         while self._slices[0].index < index - _WINDOW_SLICES:
@@ -313,52 +323,53 @@
         return self._newest
 
 
-def _reduced(counts: Mapping[_Item, int]) -> dict[_Item, int]:
-    """Return the largest counts less the first that is left out.
+def _reduce(counts: Mapping[_EntryT, int]) -> dict[_EntryT, int]:
+    """Return the largest counts, each less the largest of the discarded counts.
 
-    Each unit taken off one count is taken off `COUNTS_KEPT` others as well, which
-    bounds what a count loses by its part in all that was counted.
+    Each unit subtracted from one count is subtracted from `MIN_COUNTERS` others as
+    well, which bounds the error of a count relative to the total of all counts.
     """
-    left_out = sorted(counts.values(), reverse=True)[COUNTS_KEPT]
+    discarded = sorted(counts.values(), reverse=True)[MIN_COUNTERS]
     return {
-        item: count - left_out for item, count in counts.items() if count > left_out
+        entry: count - discarded for entry, count in counts.items() if count > discarded
     }
 
 
-def _limited(
+def _limit_entries(
     offers_per_s: Mapping[DemandKey, float],
     heaviest_per_s: Mapping[tuple[DemandKey, int], float],
 ) -> Demand:
-    """Return a demand of as many entries as a sum keeps."""
+    """Return a demand with the maximum number of entries of a sum."""
     return Demand(
-        _largest(offers_per_s, most=MOST_KEYS_KEPT),
-        _largest(heaviest_per_s, most=MOST_HEAVIEST_KEPT),
+        _largest(offers_per_s, limit=MOST_KEYS_KEPT),
+        _largest(heaviest_per_s, limit=MOST_HEAVIEST_KEPT),
     )
 
 
-def _largest(rates: Mapping[_Ordered, float], *, most: int) -> dict[_Ordered, float]:
-    """Return the largest rates; of equal ones the same at all instances."""
-    if len(rates) <= most:
+def _largest(rates: Mapping[_OrderedT, float], *, limit: int) -> dict[_OrderedT, float]:
+    """Return the largest rates; ties are resolved the same way at all instances."""
+    if len(rates) <= limit:
         return dict(rates)
-    if most <= 0:
+    if limit <= 0:
         return {}
-    least = sorted(rates.values(), reverse=True)[most - 1]
-    largest = {one: rate for one, rate in rates.items() if rate > least}
-    # Comparing entries takes longer than rates: only equal ones are ordered by them.
-    equal = (one for one, rate in rates.items() if rate == least)
-    for one in heapq.nsmallest(most - len(largest), equal):
-        largest[one] = least
+    threshold = sorted(rates.values(), reverse=True)[limit - 1]
+    largest = {entry: rate for entry, rate in rates.items() if rate > threshold}
+    # Comparing entries is slower than comparing rates: only ties are sorted by entry.
+    ties = (entry for entry, rate in rates.items() if rate == threshold)
+    for entry in heapq.nsmallest(limit - len(largest), ties):
+        largest[entry] = threshold
     return largest
 
 
-def _sendable(
-    rates: Mapping[_Ordered, float], *, most: int
-) -> list[tuple[_Ordered, int]]:
-    """Return the largest rates in units, in order, but for those that round to 0."""
-    order = sorted(
-        _largest(rates, most=most).items(), key=lambda one: (-one[1], one[0])
+def _encodable(
+    rates: Mapping[_OrderedT, float], *, limit: int
+) -> list[tuple[_OrderedT, int]]:
+    """Return the largest rates in units, sorted, without those that round to 0."""
+    ordered = sorted(
+        _largest(rates, limit=limit).items(), key=lambda item: (-item[1], item[0])
     )
     units = (
-        (one, round(min(rate, _MOST_RATE_PER_S) * _UNITS_PER_S)) for one, rate in order
+        (entry, round(min(rate, _MAX_RATE_PER_S) * _UNITS_PER_S))
+        for entry, rate in ordered
     )
-    return [(one, count) for one, count in units if count]
+    return [(entry, count) for entry, count in units if count]
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -16,7 +16,7 @@
 
 from demand_replay import KEY, of_workspaces
 from violethatch.demand import (
-    COUNTS_KEPT,
+    MIN_COUNTERS,
     MOST_BYTES,
     MOST_HEAVIEST_KEPT,
     MOST_HEAVIEST_SENT,
@@ -179,7 +179,7 @@
             right[key, workspace] += 1
             counter.offered(key, workspace, now_s=100.0 + n / offers)
         known = counter.demand(now_s=101.0)
-        most_missing = offers / (COUNTS_KEPT + 1)
+        most_missing = offers / (MIN_COUNTERS + 1)
         for heavy in range(10):
             assert (DemandKey(7, 1), heavy) in known.heaviest_per_s
         for rates_per_s in known:
