--- a/src/violethatch/load_sums.py
+++ b/src/violethatch/load_sums.py
@@ -1,15 +1,15 @@
 # SPDX-License-Identifier: MIT
-"""The load of all instances, summed along a tree of instances.
+"""The load of all instances, aggregated along a tree of instances.
 
-Backend servers that don't tell their load leave each instance with its own
-streams, and these say little where sixty share the servers.  Each instance
-therefore tells a few neighbours what it has itself and what its other neighbours
-have told: in a zone along a tree that follows from the known instances alone,
-between zones from root to root.  On a tree such sums count each instance once, so
-that what an instance hears is what all others have.
+If backend servers don't report their load, an instance has only the count of its own
+streams, a small part of the load where sixty instances share the servers.  Each
+instance therefore sends a few neighbours the sum of its own load and of the loads that
+its other neighbours reported: within a zone along a tree that is computed from the
+list of instances, between zones from root to root.  On a tree such sums count each
+instance once, so that an instance receives the load of all others.
 
-What a neighbour told counts only for a while: who dies or is cut off drops out of
-the sums, and its children turn to the next instance up the tree.
+Reports of a neighbour expire: the load of a crashed or partitioned instance is removed
+from the sums, and its children use the next instance up the tree as their parent.
 
 .. versionadded:: 26.2.0
 """
@@ -33,31 +33,32 @@
 from .instances import InstanceDirectory, InstanceEntry, ranked
 
 
-#: How many children an instance of the tree has.  More make each tick's bytes go
-#: to more neighbours; fewer make the tree deeper, so that sums are older.
+#: The number of children of an instance in the tree.  A larger number splits each
+#: tick's bytes among more neighbours; a smaller one makes the tree deeper and the sums
+#: older.
 FAN_OUT = 3
-#: How long what a neighbour told counts, in seconds: four ticks may be lost.
+#: The lifetime of a neighbour's report, in seconds: four ticks may be lost.
 TOLD_LIFE_S = 1.2
-#: How long the workspaces that a neighbour told count where it sends offers alone, in
-#: seconds: it tells them to one of up to nine neighbours each tick, and one datagram
-#: may be lost.
+#: The lifetime of a neighbour's workspaces while it sends offers only, in seconds: it
+#: sends workspaces to one of up to nine neighbours each tick, and one datagram may be
+#: lost.
 HEAVIEST_LIFE_S = 5.0
-#: How long a workspace counts that a full list no longer names, in seconds: three
-#: lists, of which an inner instance of the tree is sent one every half second.
+#: The lifetime of a workspace that a full list no longer has, in seconds: three lists,
+#: at the one per half second that an inner instance of the tree receives.
 UNNAMED_LIFE_S = 1.5
-#: How long an instance that does not answer is passed over at first, in seconds.
+#: The initial time for which an unresponsive instance is skipped, in seconds.
 SUSPECTED_S = 5.0
-#: The same at most, in seconds: it doubles each time, so that also where most of a
-#: zone is dead the ways past all of them are tried before the first is again.
+#: The maximum of that time, in seconds.  It doubles each time, so that even with most of
+#: a zone down all of its instances are tried before the first is tried again.
 LONGEST_SUSPECTED_S = 40.0
 
 
-#: How many servers' numbers are kept, which are asked for at each request.
-_MOST_NUMBERS = 4096
+#: The number of cached server numbers, which are used for each request.
+_NUMBER_CACHE_SIZE = 4096
 
 
 class Direction(enum.StrEnum):
-    """Where in the tree a sum goes, as seen from its sender.
+    """The direction of a sum in the tree, relative to its sender.
 
     .. versionadded:: 26.2.0
     """
@@ -69,11 +70,11 @@
 
 
 class ServerTotals(NamedTuple):
-    """What several instances have at one backend server.
+    """The load of several instances at one backend server.
 
     Attributes:
-        streams: Streams that the server runs as the first of their path.
-        token_layers: Tokens times layers of KV cache that they need there.
+        streams: Streams for which the server is the first of the path.
+        token_layers: KV cache that the streams use there, in tokens times layers.
 
     .. versionadded:: 26.2.0
     """
@@ -83,15 +84,15 @@
 
 
 class LoadTotals(NamedTuple):
-    """What several instances have in all.
+    """The total load of several instances.
 
     Attributes:
-        instances: How many instances are in the sum.
-        pipe_ms_per_s: How long their streams take the pipe between zones, in ms a
-            second.
-        servers: By the server's number, what they have there.
-        age_s: How old that is on average over the instances, in seconds.
-        demand: What they are offered, of governed services.
+        instances: The number of instances in the sum.
+        pipe_ms_per_s: The time that their streams occupy the link between zones, in
+            ms per second.
+        servers: By the server's number, the load there.
+        age_s: The mean age of the load over the instances, in seconds.
+        demand: The load that is offered to them, of services with admission control.
 
     .. versionadded:: 26.2.0
     """
@@ -103,16 +104,16 @@
     demand: Demand = NO_DEMAND
 
 
-#: What nobody has.
+#: The total of no instances.
 NOTHING = LoadTotals(0, 0.0, {})
 _NO_STREAMS = ServerTotals(0, 0.0)
 
 
-@functools.lru_cache(maxsize=_MOST_NUMBERS)
+@functools.lru_cache(maxsize=_NUMBER_CACHE_SIZE)
 def server_number(server_id: str) -> int:
-    """Return the number by which instances name a server to each other.
+    """Return the number that identifies a server in datagrams between instances.
 
-    Two ids that share one (1 in 4 billion pairs) are thought fuller than they are.
+    The loads of two ids with the same number (1 in 4 billion pairs) are added up.
 
     .. versionadded:: 26.2.0
     """
@@ -120,32 +121,33 @@
 
 
 def total(parts: Iterable[LoadTotals]) -> LoadTotals:
-    """Return the sum of some totals.
+    """Return the sum of totals.
 
     .. versionadded:: 26.2.0
     """
     instances = 0
     pipe_ms_per_s = 0.0
-    ages_s = 0.0
+    weighted_age_s = 0.0
     servers: dict[int, ServerTotals] = {}
     demands: list[Demand] = []
     for part in parts:
         demands.append(part.demand)
         instances += part.instances
         pipe_ms_per_s += part.pipe_ms_per_s
-        ages_s += part.instances * part.age_s
+        weighted_age_s += part.instances * part.age_s
         for number, added in part.servers.items():
-            known = servers.get(number, _NO_STREAMS)
+            current = servers.get(number, _NO_STREAMS)
             servers[number] = ServerTotals(
-                known.streams + added.streams, known.token_layers + added.token_layers
+                current.streams + added.streams,
+                current.token_layers + added.token_layers,
             )
-    age_s = ages_s / instances if instances else 0.0
+    age_s = weighted_age_s / instances if instances else 0.0
     demand = total_demand(demands)
     return LoadTotals(instances, pipe_ms_per_s, servers, age_s, demand)
 
 
-class _Told:
-    """What a neighbour has told so far, and when it last did."""
+class _Report:
+    """The load that a neighbour has reported, and the time of its last report."""
 
     def __init__(self, direction: Direction) -> None:
         self.direction = direction
@@ -154,92 +156,93 @@
         self.age_s = 0.0
         self.servers: dict[int, ServerTotals] = {}
         self.demand: Demand = NO_DEMAND
-        self.heaviest_told_s = 0.0
-        #: When each workspace of the demand was last named.
-        self.named_s: dict[tuple[DemandKey, int], float] = {}
-        self.told_s = 0.0
+        self.heaviest_received_s = 0.0
+        #: By workspace of the demand, the time when it was last listed.
+        self.listed_s: dict[tuple[DemandKey, int], float] = {}
+        self.received_s = 0.0
 
-    def take(self, change: LoadTotals, *, now_s: float) -> None:
-        """Take a change in; servers that it doesn't name stay as they are."""
+    def update(self, change: LoadTotals, *, now_s: float) -> None:
+        """Apply a change; servers that it doesn't list stay unchanged."""
         self.instances = change.instances
         self.pipe_ms_per_s = change.pipe_ms_per_s
         self.age_s = change.age_s
-        self._take_demand(change.demand, now_s=now_s)
-        self.told_s = now_s
+        self._update_demand(change.demand, now_s=now_s)
+        self.received_s = now_s
         for number, totals in change.servers.items():
             if totals.streams or totals.token_layers:
                 self.servers[number] = totals
             else:
                 self.servers.pop(number, None)
 
-    def _take_demand(self, demand: Demand, *, now_s: float) -> None:
-        """Take demand in; offers come from workspaces, so that none are unchanged."""
-        is_known = now_s - self.heaviest_told_s <= HEAVIEST_LIFE_S
-        if demand.offers_per_s and not demand.heaviest_per_s and is_known:
+    def _update_demand(self, demand: Demand, *, now_s: float) -> None:
+        """Update the demand; offers without workspaces leave the workspaces unchanged."""
+        is_current = now_s - self.heaviest_received_s <= HEAVIEST_LIFE_S
+        if demand.offers_per_s and not demand.heaviest_per_s and is_current:
             heaviest_per_s = self.demand.heaviest_per_s
         else:
-            heaviest_per_s = self._with_unnamed(demand.heaviest_per_s, now_s=now_s)
-            self.heaviest_told_s = now_s
+            heaviest_per_s = self._with_unlisted(demand.heaviest_per_s, now_s=now_s)
+            self.heaviest_received_s = now_s
         self.demand = demand._replace(heaviest_per_s=heaviest_per_s)
 
-    def _with_unnamed(
-        self, named_per_s: Mapping[tuple[DemandKey, int], float], *, now_s: float
+    def _with_unlisted(
+        self, listed_per_s: Mapping[tuple[DemandKey, int], float], *, now_s: float
     ) -> Mapping[tuple[DemandKey, int], float]:
-        """Return workspaces with those that a full list may just have left out.
+        """Return workspaces with those that a full list may have omitted.
 
-        Counts of one second waver, so that workspaces near the end of a list come
-        and go.  What isn't named has at most the least rate that is.
+        Counts of one second fluctuate, so that workspaces near the end of a list are
+        listed intermittently.  The rate of an unlisted workspace is at most the minimum
+        of the list.
         """
-        self.named_s |= dict.fromkeys(named_per_s, now_s)
-        self.named_s = {
-            entry: named_s
-            for entry, named_s in self.named_s.items()
-            if now_s - named_s <= UNNAMED_LIFE_S
+        self.listed_s |= dict.fromkeys(listed_per_s, now_s)
+        self.listed_s = {
+            entry: listed_s
+            for entry, listed_s in self.listed_s.items()
+            if now_s - listed_s <= UNNAMED_LIFE_S
         }
-        if len(named_per_s) < MOST_HEAVIEST_SENT:
-            return named_per_s
-        least_per_s = min(named_per_s.values())
-        unnamed_per_s = {
-            entry: min(rate, least_per_s)
+        if len(listed_per_s) < MOST_HEAVIEST_SENT:
+            return listed_per_s
+        min_per_s = min(listed_per_s.values())
+        unlisted_per_s = {
+            entry: min(rate, min_per_s)
             for entry, rate in self.demand.heaviest_per_s.items()
-            if entry in self.named_s
+            if entry in self.listed_s
         }
-        return {**unnamed_per_s, **named_per_s}
+        return {**unlisted_per_s, **listed_per_s}
 
     def totals(self, *, now_s: float) -> LoadTotals:
-        """Return all that it has told, as old as that is now."""
-        age_s = self.age_s + now_s - self.told_s
+        """Return the reported load, with its current age."""
+        age_s = self.age_s + now_s - self.received_s
         return LoadTotals(
             self.instances, self.pipe_ms_per_s, self.servers, age_s, self.demand
         )
 
 
 class _Suspicion(NamedTuple):
-    """An instance that gives no answer, until when it is passed over, and so long."""
+    """An unresponsive instance, the end of its suspicion, and its duration."""
 
-    #: What its entry held: who starts again writes another one.
+    #: The token of its entry; a restarted instance has a new one.
     token: str
     until_s: float
-    length_s: float
+    duration_s: float
 
 
 class LoadSums:
-    """One instance's place in the tree, and what its neighbours have told.
+    """One instance's position in the tree, and the reports of its neighbours.
 
     Args:
-        directory: The instances that are known.
+        directory: The directory of instances.
 
     .. versionadded:: 26.2.0
     """
 
     def __init__(self, directory: InstanceDirectory) -> None:
         self._directory = directory
-        self._told: dict[str, _Told] = {}
-        #: Since when an instance is told without a word from it.
+        self._reports: dict[str, _Report] = {}
+        #: By instance, the time of the first report without one in return.
         self._unanswered_since_s: dict[str, float] = {}
         self._suspicions: dict[str, _Suspicion] = {}
         self._others: LoadTotals = NOTHING
-        #: The directory's revision that the ranks are of, and by zone its
+        #: The directory's revision at which the ranks were computed, and by zone its
         #: instances' ids, the root first.
         self._ranks_revision = -1
         self._ranks_by_zone: dict[str, list[str]] = {}
@@ -247,17 +250,17 @@
 
     @property
     def others(self) -> LoadTotals:
-        """What all other instances have, as of the last `refresh`."""
+        """The load of all other instances, as of the last `refresh`."""
         return self._others
 
     def take(
         self, sender: str, direction: Direction, change: LoadTotals, *, now_s: float
     ) -> bool:
-        """Take in what an instance tells; tell whether it is a neighbour's word.
+        """Apply an instance's report; return whether the instance is a neighbour.
 
         Args:
-            sender: The instance that tells it.
-            direction: Where it sends it, seen from itself.
+            sender: The instance that sent it.
+            direction: The direction, relative to the sender.
             change: Its sum, with the servers that have changed.
             now_s: The current monotonic time, in seconds.
         """
@@ -265,39 +268,41 @@
         self._suspicions.pop(sender, None)
         if not self._is_neighbour(sender, direction, now_s=now_s):
             return False
-        told = self._told.get(sender)
-        if told is None or told.direction is not direction:
-            told = self._told[sender] = _Told(direction)
-        told.take(change, now_s=now_s)
+        report = self._reports.get(sender)
+        if report is None or report.direction is not direction:
+            report = self._reports[sender] = _Report(direction)
+        report.update(change, now_s=now_s)
         return True
 
     def refresh(self, *, now_s: float) -> None:
-        """Drop what was told too long ago, and sum up the rest."""
-        for sender, told in list(self._told.items()):
-            if now_s - told.told_s > TOLD_LIFE_S:
-                del self._told[sender]
-        self._others = total(told.totals(now_s=now_s) for told in self._told.values())
+        """Remove expired reports, and sum up the others."""
+        for sender, report in list(self._reports.items()):
+            if now_s - report.received_s > TOLD_LIFE_S:
+                del self._reports[sender]
+        self._others = total(
+            report.totals(now_s=now_s) for report in self._reports.values()
+        )
 
     def note_standstill(self, stood_s: float, *, now_s: float) -> None:
-        """Count this instance's own standstill as nobody's silence.
+        """Exclude a stall of this instance from the time without reports of others.
 
         Args:
-            stood_s: How long it lasted, in seconds.
+            stood_s: The duration of the stall, in seconds.
             now_s: The current monotonic time, in seconds.
         """
-        for one, since_s in self._unanswered_since_s.items():
-            self._unanswered_since_s[one] = min(now_s, since_s + stood_s)
+        for instance_id, since_s in self._unanswered_since_s.items():
+            self._unanswered_since_s[instance_id] = min(now_s, since_s + stood_s)
 
     def neighbours(self, *, now_s: float) -> dict[str, Direction]:
-        """Return whom to tell, and in which direction.
+        """Return the instances to report to, and the direction of each.
 
-        Whoever gave no word in answer for long is passed over for a while.
+        Unresponsive instances are skipped for a while.
         """
-        self._suspect(now_s=now_s)
+        self._suspect_unresponsive(now_s=now_s)
         neighbours = {
             sender: Direction.DOWN
-            for sender, told in self._told.items()
-            if told.direction is Direction.UP
+            for sender, report in self._reports.items()
+            if report.direction is Direction.UP
         }
         parent = self._parent(now_s=now_s)
         if parent is not None:
@@ -313,19 +318,19 @@
     def sum_for(
         self, neighbour: str, direction: Direction, own: LoadTotals, *, now_s: float
     ) -> LoadTotals:
-        """Return what to tell a neighbour: all on this side of it.
+        """Return the sum to send to a neighbour: the load on this side of it.
 
-        Another zone's root is told of this zone only.
+        The root of another zone receives the load of this zone only.
         """
         parts = [own]
-        for sender, told in self._told.items():
-            is_of_zone = told.direction is Direction.UP
-            if sender != neighbour and (is_of_zone or direction is Direction.DOWN):
-                parts.append(told.totals(now_s=now_s))
+        for sender, report in self._reports.items():
+            is_from_zone = report.direction is Direction.UP
+            if sender != neighbour and (is_from_zone or direction is Direction.DOWN):
+                parts.append(report.totals(now_s=now_s))
         return total(parts)
 
     def _is_neighbour(self, sender: str, direction: Direction, *, now_s: float) -> bool:
-        """Tell whether a word comes from where this instance sums it up."""
+        """Return whether reports of a sender in a direction are part of the sums."""
         parent = self._parent(now_s=now_s)
         if direction is Direction.ACROSS:
             return parent is None
@@ -334,22 +339,22 @@
         return sender != parent and sender in self._ranks()
 
     def _parent(self, *, now_s: float) -> str | None:
-        """Return the next instance up the tree, or None for a zone's root.
+        """Return the next responsive ancestor in the tree, or None for a zone's root.
 
-        Where the way up is silent, the first instance of the zone that is not.
+        Without one, it is the first responsive instance of the zone by rank.
         """
         ranks = self._ranks()
         own_rank = ranks.index(self._directory.own.id)
-        above = own_rank
-        while above:
-            above = (above - 1) // FAN_OUT
-            if not self._is_suspected(ranks[above], now_s=now_s):
-                return ranks[above]
+        ancestor = own_rank
+        while ancestor:
+            ancestor = (ancestor - 1) // FAN_OUT
+            if not self._is_suspected(ranks[ancestor], now_s=now_s):
+                return ranks[ancestor]
         return next(
             (
-                one
-                for one in ranks[:own_rank]
-                if not self._is_suspected(one, now_s=now_s)
+                instance_id
+                for instance_id in ranks[:own_rank]
+                if not self._is_suspected(instance_id, now_s=now_s)
             ),
             None,
         )
@@ -364,8 +369,14 @@
         for zone, ranks in self._zones().items():
             if zone == self._directory.own.availability_zone:
                 continue
-            up = (one for one in ranks if not self._is_suspected(one, now_s=now_s))
-            roots.extend([root for root in [next(up, None)] if root is not None])
+            responsive = (
+                instance_id
+                for instance_id in ranks
+                if not self._is_suspected(instance_id, now_s=now_s)
+            )
+            roots.extend(
+                [root for root in [next(responsive, None)] if root is not None]
+            )
         return roots
 
     def _zones(self) -> dict[str, list[str]]:
@@ -381,25 +392,27 @@
         self._ranks_by_zone = {zone: ranked(members) for zone, members in zones.items()}
         return self._ranks_by_zone
 
-    def _suspect(self, *, now_s: float) -> None:
-        """Pass over who has been told for long without a word in answer."""
-        for one, since_s in list(self._unanswered_since_s.items()):
+    def _suspect_unresponsive(self, *, now_s: float) -> None:
+        """Suspect the instances that have not sent a report in return for too long."""
+        for instance_id, since_s in list(self._unanswered_since_s.items()):
             if now_s - since_s > TOLD_LIFE_S:
-                self._pass_over(one, now_s=now_s)
-                del self._unanswered_since_s[one]
-
-    def _pass_over(self, instance_id: str, *, now_s: float) -> None:
-        """Leave an instance out that gave no answer."""
-        known = self._suspicions.get(instance_id)
-        length_s = SUSPECTED_S
-        if known is not None:
-            length_s = min(LONGEST_SUSPECTED_S, 2 * known.length_s)
+                self._suspect(instance_id, now_s=now_s)
+                del self._unanswered_since_s[instance_id]
+
+    def _suspect(self, instance_id: str, *, now_s: float) -> None:
+        """Skip an unresponsive instance, for twice as long as the last time."""
+        previous = self._suspicions.get(instance_id)
+        duration_s = SUSPECTED_S
+        if previous is not None:
+            duration_s = min(LONGEST_SUSPECTED_S, 2 * previous.duration_s)
         token = self._tokens.get(instance_id, "")
-        self._suspicions[instance_id] = _Suspicion(token, now_s + length_s, length_s)
+        self._suspicions[instance_id] = _Suspicion(
+            token, now_s + duration_s, duration_s
+        )
 
     def _is_suspected(self, instance_id: str, *, now_s: float) -> bool:
-        """Tell whether an instance is passed over now."""
-        known = self._suspicions.get(instance_id)
-        if known is None or now_s >= known.until_s:
+        """Return whether an instance is skipped at present."""
+        suspicion = self._suspicions.get(instance_id)
+        if suspicion is None or now_s >= suspicion.until_s:
             return False
-        return self._tokens.get(instance_id) == known.token
+        return self._tokens.get(instance_id) == suspicion.token
