--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Tells neighbours this instance's sum of loads, and takes theirs in."""
+"""Exchanges sums of loads with the neighbours of this instance."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 from .stream_loads import StreamLoads
 
 
-#: How often neighbours are told, in seconds.  Streams last a second or more.
+#: The interval of reports to neighbours, in seconds.  Streams last a second or more.
 TICK_S = 0.25
-#: How long to read, after a standstill, what the others told meanwhile, in seconds.
-_READ_S = 0.01
-#: The most bytes that an instance sends for this in a second, of the 4 KB that
-#: all of control may take.
-_MOST_BYTES_A_SECOND = 3000
-#: What demand may take beside that: with less, an instance with four neighbours told
-#: each of them of one server in a datagram instead of nine.
-_MOST_DEMAND_BYTES_A_SECOND = 800
-#: What a datagram takes beside its servers: headers, token, names and counts.
+#: The time to receive datagrams that are pending after a stall, in seconds.
+_RECEIVE_S = 0.01
+#: The maximum rate of an instance's reports, of the 4 KB per second for all control
+#: traffic.
+_MAX_BYTES_PER_S = 3000
+#: The additional bytes for demand: with fewer, an instance with four neighbours had
+#: space for one server per datagram instead of nine.
+_DEMAND_BYTES_PER_S = 800
+#: The size of a datagram without servers: headers, token, names and counts.
 ENVELOPE_BYTES = 110
-#: The most neighbours that are told in one tick: more would leave each datagram
-#: little beside its envelope.  The others' turn comes with the next ticks.
+#: The maximum number of neighbours to report to in one tick: with more, datagrams would
+#: mostly consist of their envelopes.  The others follow in the next ticks.
 MOST_TOLD_A_TICK = 4
-#: A server in a datagram: its number, streams, and units of tokens times layers.
+#: A server in a datagram: its number, streams, and units of token layers.
 _SERVER = struct.Struct("<IHH")
 #: The unit; a stream of a thousand tokens has some thousands even on one layer.
 _UNIT_TOKEN_LAYERS = 256
-_MOST_COUNT = 0xFFFF
+_MAX_COUNT = 0xFFFF
 _MS_PER_S = 1000
-#: What msgpack puts before the bytes of a demand.
+#: The size of the msgpack header of an encoded demand.
 _DEMAND_HEADER_BYTES = 2
-#: What a server takes in a datagram.
+#: The size of a server in a datagram.
 SERVER_BYTES = _SERVER.size
 
 
 class LoadLink:
-    """Keeps the sums of loads going.
+    """Sends and receives the sums of loads.
 
     Args:
-        datagrams: Carries them.
-        loads: Has this instance's own, and is given the others'.
+        datagrams: Transports the sums.
+        loads: Provides this instance's own load, and is updated with the others'.
     """
 
     def __init__(self, datagrams: PeerDatagrams, loads: StreamLoads) -> None:
@@ -58,27 +58,27 @@
         self._loads = loads
         self._sums = LoadSums(datagrams.directory)
         self._neighbours: dict[str, Direction] = {}
-        self._turn = 0
-        #: By neighbour, what it was told, and in which direction.
+        self._next_index = 0
+        #: By neighbour, the direction and the state of what was sent.
         self._feeds: dict[str, tuple[Direction, ChangeFeed]] = {}
-        self._demands = DemandFeed()
-        #: Called each tick, once the sums are those of the tick.
+        self._demand_feed = DemandFeed()
+        #: Called each tick, after the sums are refreshed.
         self.on_tick: Callable[[], None] = lambda: None
-        datagrams.on(LoadDatagram, self._take)
+        datagrams.on(LoadDatagram, self._receive)
 
     async def run(self) -> None:
-        """Tell neighbours, until cancelled."""
+        """Report to neighbours until cancelled."""
         while True:
-            began_s = clocks.now_s()
+            started_s = clocks.now_s()
             await asyncio.sleep(TICK_S)
-            stood_s = clocks.now_s() - began_s - TICK_S
-            if stood_s > LATE_S:
-                await asyncio.sleep(_READ_S)
-                self._sums.note_standstill(stood_s, now_s=clocks.now_s())
+            stall_s = clocks.now_s() - started_s - TICK_S
+            if stall_s > LATE_S:
+                await asyncio.sleep(_RECEIVE_S)
+                self._sums.note_standstill(stall_s, now_s=clocks.now_s())
             self._tick(now_s=clocks.now_s())
 
     def _tick(self, *, now_s: float) -> None:
-        """Tell each neighbour once, and let go of old words."""
+        """Report to each neighbour once, and remove expired reports."""
         self._sums.refresh(now_s=now_s)
         self._loads.take_others(self._sums.others, now_s=now_s)
         self.on_tick()
@@ -87,30 +87,42 @@
             self._neighbours = neighbours
             events.log(
                 events.LOAD_NEIGHBOURS,
-                neighbours={one: str(where) for one, where in neighbours.items()},
+                neighbours={
+                    neighbour: str(direction)
+                    for neighbour, direction in neighbours.items()
+                },
                 instances_summed=self._sums.others.instances,
             )
-        for gone in self._feeds.keys() - neighbours.keys():
-            del self._feeds[gone]
-            self._demands.forget(gone)
+        for former in self._feeds.keys() - neighbours.keys():
+            del self._feeds[former]
+            self._demand_feed.forget(former)
         if not neighbours:
             return
         own = self._loads.own_totals(now_s=now_s)
-        peers = {one.id: one for one in self._directory.others()}
-        # An entry may have gone since the neighbours were found.
-        told = [one for one in self._in_turn(list(neighbours)) if one in peers]
+        peers = {entry.id: entry for entry in self._directory.others()}
+        # An entry may have been removed since the neighbours were selected.
+        recipients = [
+            neighbour
+            for neighbour in self._in_turn(list(neighbours))
+            if neighbour in peers
+        ]
         totals_by_neighbour = {
-            one: self._sums.sum_for(one, neighbours[one], own, now_s=now_s)
-            for one in told
+            neighbour: self._sums.sum_for(
+                neighbour, neighbours[neighbour], own, now_s=now_s
+            )
+            for neighbour in recipients
         }
-        demands = self._demands.pack(
-            {one: totals.demand for one, totals in totals_by_neighbour.items()},
-            most_bytes=most_demand_bytes(len(told)),
+        demands = self._demand_feed.pack(
+            {
+                neighbour: totals.demand
+                for neighbour, totals in totals_by_neighbour.items()
+            },
+            most_bytes=max_demand_bytes(len(recipients)),
         )
-        most = most_servers(len(told), demands.values())
+        limit = most_servers(len(recipients), demands.values())
         for neighbour, totals in totals_by_neighbour.items():
             direction = neighbours[neighbour]
-            picked = self._feed(neighbour, direction).pick(totals.servers, most=most)
+            changes = self._feed(neighbour, direction).pick(totals.servers, most=limit)
             message = LoadDatagram(
                 token=peers[neighbour].token,
                 sender=self._directory.own.id,
@@ -118,35 +130,35 @@
                 instances=totals.instances,
                 pipe_ms_per_s=round(totals.pipe_ms_per_s, 1),
                 age_ms=round(totals.age_s * _MS_PER_S),
-                servers=_packed(picked),
+                servers=_encode_servers(changes),
                 demand=demands[neighbour],
             )
             self._datagrams.send(peers[neighbour], message)
 
     def _in_turn(self, neighbours: list[str]) -> list[str]:
-        """Return whom to tell in this tick, where there are too many for one."""
+        """Return the neighbours to report to in this tick, in round-robin order."""
         count = min(len(neighbours), MOST_TOLD_A_TICK)
-        first = self._turn % len(neighbours)
-        self._turn += count
+        first = self._next_index % len(neighbours)
+        self._next_index += count
         return (neighbours + neighbours)[first : first + count]
 
     def _feed(self, neighbour: str, direction: Direction) -> ChangeFeed:
-        """Return what a neighbour was told; nothing yet in a new direction."""
-        known = self._feeds.get(neighbour)
-        if known is None or known[0] is not direction:
-            known = self._feeds[neighbour] = (direction, ChangeFeed())
-        return known[1]
+        """Return a neighbour's feed; a new one if its direction has changed."""
+        current = self._feeds.get(neighbour)
+        if current is None or current[0] is not direction:
+            current = self._feeds[neighbour] = (direction, ChangeFeed())
+        return current[1]
 
-    def _take(self, message: LoadDatagram) -> None:
-        """Take a neighbour's sum in.
+    def _receive(self, message: LoadDatagram) -> None:
+        """Apply a neighbour's report.
 
         Raises:
-            ValueError: It can't be understood.
+            ValueError: It is malformed.
         """
         change = LoadTotals(
             instances=message.instances,
             pipe_ms_per_s=message.pipe_ms_per_s,
-            servers=_unpacked(message.servers),
+            servers=_decode_servers(message.servers),
             age_s=message.age_ms / _MS_PER_S,
             demand=unpacked(message.demand),
         )
@@ -156,53 +168,53 @@
 
 
 def most_servers(neighbours: int, demands: Iterable[bytes] = ()) -> int:
-    """Return how many servers fit a datagram, within the bytes of a second.
+    """Return the number of servers that fit in a datagram at the maximum rate.
 
     Args:
-        neighbours: How many are told in a tick.
-        demands: The demand in each of their datagrams, which goes first.
+        neighbours: The number of neighbours to report to in a tick.
+        demands: The demand in each of their datagrams, which takes precedence.
     """
     demand_bytes = sum(
         _DEMAND_HEADER_BYTES + len(demand) for demand in demands if demand
     )
-    beyond = max(0.0, demand_bytes - _MOST_DEMAND_BYTES_A_SECOND * TICK_S)
-    left = _most_content_bytes(neighbours) - beyond
-    return max(1, int(left / max(1, neighbours) / _SERVER.size))
+    excess = max(0.0, demand_bytes - _DEMAND_BYTES_PER_S * TICK_S)
+    available = _content_bytes(neighbours) - excess
+    return max(1, int(available / max(1, neighbours) / _SERVER.size))
 
 
-def most_demand_bytes(neighbours: int) -> int:
-    """Return how much demand fits a tick's datagrams, with one server in each.
+def max_demand_bytes(neighbours: int) -> int:
+    """Return the bytes for demand in a tick's datagrams, with one server in each.
 
     Args:
-        neighbours: How many are told in a tick.
+        neighbours: The number of neighbours to report to in a tick.
     """
-    least = neighbours * (_DEMAND_HEADER_BYTES + _SERVER.size)
-    of_demand = _MOST_DEMAND_BYTES_A_SECOND * TICK_S
-    return max(0, int(_most_content_bytes(neighbours) + of_demand) - least)
+    reserved = neighbours * (_DEMAND_HEADER_BYTES + _SERVER.size)
+    demand_bytes = _DEMAND_BYTES_PER_S * TICK_S
+    return max(0, int(_content_bytes(neighbours) + demand_bytes) - reserved)
 
 
-def _most_content_bytes(neighbours: int) -> float:
-    """Return what a tick's datagrams may hold beside their envelopes."""
-    return _MOST_BYTES_A_SECOND * TICK_S - neighbours * ENVELOPE_BYTES
+def _content_bytes(neighbours: int) -> float:
+    """Return the bytes for content in a tick's datagrams, without envelopes."""
+    return _MAX_BYTES_PER_S * TICK_S - neighbours * ENVELOPE_BYTES
 
 
-def _packed(servers: Mapping[int, ServerTotals]) -> bytes:
-    """Return servers' totals as bytes."""
+def _encode_servers(servers: Mapping[int, ServerTotals]) -> bytes:
+    """Encode servers' totals."""
     return b"".join(
         _SERVER.pack(
             number,
-            min(_MOST_COUNT, totals.streams),
-            min(_MOST_COUNT, round(totals.token_layers / _UNIT_TOKEN_LAYERS)),
+            min(_MAX_COUNT, totals.streams),
+            min(_MAX_COUNT, round(totals.token_layers / _UNIT_TOKEN_LAYERS)),
         )
         for number, totals in servers.items()
     )
 
 
-def _unpacked(data: bytes) -> dict[int, ServerTotals]:
-    """Return servers' totals from bytes.
+def _decode_servers(data: bytes) -> dict[int, ServerTotals]:
+    """Decode servers' totals.
 
     Raises:
-        ValueError: They are not whole.
+        ValueError: The bytes are incomplete.
     """
     if len(data) % _SERVER.size:
         msg = f"{len(data)} bytes are no whole servers"
--- a/src/violethatch/load_sums.py
+++ b/src/violethatch/load_sums.py
@@ -38,19 +38,19 @@
 #: older.
 FAN_OUT = 3
 #: The lifetime of a neighbour's report, in seconds: four ticks may be lost.
-TOLD_LIFE_S = 1.2
+REPORT_TTL_S = 1.2
 #: The lifetime of a neighbour's workspaces while it sends offers only, in seconds: it
 #: sends workspaces to one of up to nine neighbours each tick, and one datagram may be
 #: lost.
-HEAVIEST_LIFE_S = 5.0
+WORKSPACES_TTL_S = 5.0
 #: The lifetime of a workspace that a full list no longer has, in seconds: three lists,
 #: at the one per half second that an inner instance of the tree receives.
-UNNAMED_LIFE_S = 1.5
+UNLISTED_TTL_S = 1.5
 #: The initial time for which an unresponsive instance is skipped, in seconds.
-SUSPECTED_S = 5.0
-#: The maximum of that time, in seconds.  It doubles each time, so that even with most of
-#: a zone down all of its instances are tried before the first is tried again.
-LONGEST_SUSPECTED_S = 40.0
+INITIAL_SUSPECTED_S = 5.0
+#: The maximum of that time, in seconds.  It doubles each time, so that even with most
+#: of a zone down all of its instances are tried before the first is tried again.
+MAX_SUSPECTED_S = 40.0
 
 
 #: The number of cached server numbers, which are used for each request.
@@ -113,7 +113,7 @@
 def server_number(server_id: str) -> int:
     """Return the number that identifies a server in datagrams between instances.
 
-    The loads of two ids with the same number (1 in 4 billion pairs) are added up.
+    Two ids with the same number (1 in 4 billion pairs) each get the load of both.
 
     .. versionadded:: 26.2.0
     """
@@ -175,8 +175,8 @@
                 self.servers.pop(number, None)
 
     def _update_demand(self, demand: Demand, *, now_s: float) -> None:
-        """Update the demand; offers without workspaces leave the workspaces unchanged."""
-        is_current = now_s - self.heaviest_received_s <= HEAVIEST_LIFE_S
+        """Update the demand; workspaces stay unchanged if only offers were sent."""
+        is_current = now_s - self.heaviest_received_s <= WORKSPACES_TTL_S
         if demand.offers_per_s and not demand.heaviest_per_s and is_current:
             heaviest_per_s = self.demand.heaviest_per_s
         else:
@@ -197,7 +197,7 @@
         self.listed_s = {
             entry: listed_s
             for entry, listed_s in self.listed_s.items()
-            if now_s - listed_s <= UNNAMED_LIFE_S
+            if now_s - listed_s <= UNLISTED_TTL_S
         }
         if len(listed_per_s) < MOST_HEAVIEST_SENT:
             return listed_per_s
@@ -277,21 +277,21 @@
     def refresh(self, *, now_s: float) -> None:
         """Remove expired reports, and sum up the others."""
         for sender, report in list(self._reports.items()):
-            if now_s - report.received_s > TOLD_LIFE_S:
+            if now_s - report.received_s > REPORT_TTL_S:
                 del self._reports[sender]
         self._others = total(
             report.totals(now_s=now_s) for report in self._reports.values()
         )
 
-    def note_standstill(self, stood_s: float, *, now_s: float) -> None:
+    def note_standstill(self, stall_s: float, *, now_s: float) -> None:
         """Exclude a stall of this instance from the time without reports of others.
 
         Args:
-            stood_s: The duration of the stall, in seconds.
+            stall_s: The duration of the stall, in seconds.
             now_s: The current monotonic time, in seconds.
         """
         for instance_id, since_s in self._unanswered_since_s.items():
-            self._unanswered_since_s[instance_id] = min(now_s, since_s + stood_s)
+            self._unanswered_since_s[instance_id] = min(now_s, since_s + stall_s)
 
     def neighbours(self, *, now_s: float) -> dict[str, Direction]:
         """Return the instances to report to, and the direction of each.
@@ -395,16 +395,16 @@
     def _suspect_unresponsive(self, *, now_s: float) -> None:
         """Suspect the instances that have not sent a report in return for too long."""
         for instance_id, since_s in list(self._unanswered_since_s.items()):
-            if now_s - since_s > TOLD_LIFE_S:
+            if now_s - since_s > REPORT_TTL_S:
                 self._suspect(instance_id, now_s=now_s)
                 del self._unanswered_since_s[instance_id]
 
     def _suspect(self, instance_id: str, *, now_s: float) -> None:
         """Skip an unresponsive instance, for twice as long as the last time."""
         previous = self._suspicions.get(instance_id)
-        duration_s = SUSPECTED_S
+        duration_s = INITIAL_SUSPECTED_S
         if previous is not None:
-            duration_s = min(LONGEST_SUSPECTED_S, 2 * previous.duration_s)
+            duration_s = min(MAX_SUSPECTED_S, 2 * previous.duration_s)
         token = self._tokens.get(instance_id, "")
         self._suspicions[instance_id] = _Suspicion(
             token, now_s + duration_s, duration_s
--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -159,7 +159,7 @@
         }
         demands = self.feeds[one].pack(
             {to: totals.demand for to, totals in said.items()},
-            most_bytes=_load_link.most_demand_bytes(told),
+            most_bytes=_load_link.max_demand_bytes(told),
         )
         return [
             (one, to, neighbours[to], totals._replace(demand=unpacked(demands[to])))
--- a/tests/test_load_link.py
+++ b/tests/test_load_link.py
@@ -33,7 +33,7 @@
 )
 from violethatch.event_loop import EventLoop
 from violethatch.instances import InstanceDirectory
-from violethatch.load_sums import TOLD_LIFE_S, ServerTotals
+from violethatch.load_sums import REPORT_TTL_S, ServerTotals
 from violethatch.paths import find_path
 from violethatch.stream_loads import StreamLoads
 
@@ -172,7 +172,7 @@
         before = dict(link._neighbours)
         seen = []
         link.on_tick = lambda: seen.append(link._sums.others.instances)
-        await stand_still_while_reading(TOLD_LIFE_S + 0.5)
+        await stand_still_while_reading(REPORT_TTL_S + 0.5)
         await asyncio.sleep(2 * _load_link.TICK_S)
         task.cancel()
         ended.set()
@@ -209,7 +209,7 @@
             instances=350,
             pipe_ms_per_s=123.4,
             age_ms=4000,
-            servers=_load_link._packed(servers),
+            servers=_load_link._encode_servers(servers),
         )
         datagram_bytes = len(msgspec.msgpack.encode(message)) + 28
         ticks = 1 / _load_link.TICK_S
@@ -223,7 +223,7 @@
         for _ in range(4):
             demands = feed.pack(
                 {str(n): demand for n in range(neighbours)},
-                most_bytes=_load_link.most_demand_bytes(neighbours),
+                most_bytes=_load_link.max_demand_bytes(neighbours),
             )
             assert all(unpacked(data).offers_per_s for data in demands.values())
             most = _load_link.most_servers(neighbours, demands.values())
@@ -239,7 +239,7 @@
                             instances=350,
                             pipe_ms_per_s=123.4,
                             age_ms=4000,
-                            servers=_load_link._packed(servers),
+                            servers=_load_link._encode_servers(servers),
                             demand=data,
                         )
                     )
@@ -284,7 +284,7 @@
     def test_packed_totals_come_back(self, streams):
         """Up to the bounds of the packing and its unit."""
         servers = {n: ServerTotals(k, k * 512.0) for n, k in streams.items()}
-        back = _load_link._unpacked(_load_link._packed(servers))
+        back = _load_link._decode_servers(_load_link._encode_servers(servers))
         assert back.keys() == servers.keys()
         for number, totals in back.items():
             assert totals.streams == min(65535, servers[number].streams)
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -13,11 +13,11 @@
 from violethatch.instances import InstanceDirectory
 from violethatch.load_sums import (
     FAN_OUT,
-    HEAVIEST_LIFE_S,
+    WORKSPACES_TTL_S,
     NOTHING,
-    SUSPECTED_S,
-    TOLD_LIFE_S,
-    UNNAMED_LIFE_S,
+    INITIAL_SUSPECTED_S,
+    REPORT_TTL_S,
+    UNLISTED_TTL_S,
     Direction,
     LoadSums,
     LoadTotals,
@@ -190,7 +190,7 @@
         fleet = Fleet([3, 3], loss=lambda one, to: is_cut and one[0] != to[0])
         fleet.tick(20)
         is_cut = False
-        fleet.tick(round((SUSPECTED_S + 3) / TICK_S))
+        fleet.tick(round((INITIAL_SUSPECTED_S + 3) / TICK_S))
         assert {fleet.streams_known(one) for one in fleet.sums} == {fleet.right()}
 
     def test_what_has_ended_is_forgotten(self):
@@ -207,7 +207,7 @@
         fleet.tick(4)
         one = fleet.sums["0-0"]
         assert one.others.instances == 1
-        later_s = fleet.now_s + TOLD_LIFE_S + 0.1
+        later_s = fleet.now_s + REPORT_TTL_S + 0.1
         one.refresh(now_s=later_s)
         assert one.others == NOTHING
 
@@ -247,7 +247,7 @@
     def test_workspaces_are_not_known_forever(self):
         """Guards against old workspaces where no news of them comes."""
         ticks = [(n * 1.0, {}) for n in range(1, 8)]
-        assert HEAVIEST_LIFE_S < 7.0
+        assert WORKSPACES_TTL_S < 7.0
         assert self.known((0.0, {1: 4.0}), *ticks, now_s=7.0) == {}
 
     def test_short_list_is_all(self):
@@ -263,5 +263,5 @@
         known = self.known((0.0, first), (0.5, full), now_s=0.5)
         assert known == {**full, 99: 9.0}
         again = [(0.5 * n, full) for n in range(1, 5)]
-        assert UNNAMED_LIFE_S < 2.0
+        assert UNLISTED_TTL_S < 2.0
         assert self.known((0.0, first), *again, now_s=2.0) == full
