--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which servers' totals to tell a neighbour now, where not all fit.
+"""Selects the servers' totals to send to a neighbour if not all fit in a datagram.
 
 .. versionadded:: 26.2.0
 """
@@ -16,17 +16,17 @@
 
 
 class _Sent(NamedTuple):
-    """What a neighbour was last told of a server, and in which round."""
+    """The last totals sent for a server, and the round in which they were sent."""
 
     totals: ServerTotals
     round: int
 
 
 class ChangeFeed:
-    """What one neighbour was told, so that the largest changes go first.
+    """The totals that were sent to one neighbour, to send the largest changes first.
 
-    What is left of a message tells anew what was told longest ago: a message that
-    was lost is made up for.
+    Free space in a message is used to repeat the totals that were sent the longest ago:
+    this makes up for lost messages.
 
     .. versionadded:: 26.2.0
     """
@@ -38,36 +38,44 @@
     def pick(
         self, servers: Mapping[int, ServerTotals], *, most: int
     ) -> dict[int, ServerTotals]:
-        """Return what to tell next, and count it as told.
+        """Select the totals to send next, and record them as sent.
 
         Args:
-            servers: All totals as they stand, by the server's number.
-            most: The most servers that fit.
+            servers: All current totals, by the server's number.
+            most: The maximum number of servers.
         """
         self._round += 1
         numbers = servers.keys() | self._sent.keys()
-        order = sorted(
+        ordered = sorted(
             numbers,
-            key=lambda one: (-self._change(one, servers), self._told_round(one), one),
+            key=lambda number: (
+                -self._change(number, servers),
+                self._sent_round(number),
+                number,
+            ),
         )
-        picked = {one: servers.get(one, _NO_STREAMS) for one in order[:most]}
-        for number, totals in picked.items():
-            self._note(number, totals)
-        return picked
+        selected = {
+            number: servers.get(number, _NO_STREAMS) for number in ordered[:most]
+        }
+        for number, totals in selected.items():
+            self._record(number, totals)
+        return selected
 
     def _change(self, number: int, servers: Mapping[int, ServerTotals]) -> float:
-        """Return how far a server's totals are from what was told of it."""
+        """Return the difference between a server's current and sent totals."""
         sent = self._sent.get(number)
-        told = sent.totals if sent is not None else _NO_STREAMS
-        return abs(servers.get(number, _NO_STREAMS).token_layers - told.token_layers)
+        previous = sent.totals if sent is not None else _NO_STREAMS
+        return abs(
+            servers.get(number, _NO_STREAMS).token_layers - previous.token_layers
+        )
 
-    def _told_round(self, number: int) -> int:
-        """Return the round in which a server was last told of."""
+    def _sent_round(self, number: int) -> int:
+        """Return the round in which a server was last sent."""
         sent = self._sent.get(number)
         return sent.round if sent is not None else 0
 
-    def _note(self, number: int, totals: ServerTotals) -> None:
-        """Note what was told; a server that has nothing is told twice."""
+    def _record(self, number: int, totals: ServerTotals) -> None:
+        """Record totals as sent; a server without load is sent twice, then removed."""
         sent = self._sent.get(number)
         if totals == _NO_STREAMS and sent is not None and sent.totals == _NO_STREAMS:
             del self._sent[number]
