--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -1,15 +1,16 @@
 # SPDX-License-Identifier: MIT
-"""Quick cards together in chains of few stages, and the others in chains behind them.
-
-Load pattern: a fleet of unlike cards that carries less than half of what it could
-serve, so that it holds out when a zone is lost or a burst comes.  Dealt out evenly,
-each chain has its share of the quick cards and waits at each token for its slow ones.
-Together, the quick ones serve the usual load alone: streams end sooner, fewer are
-under way when something fails, and fewer stages fail less often.  The others take
-what goes beyond, and hold the same layers in the same zone for moves.
-
-How many of the quickest hosts go together is searched.  No request a second is given
-up for it: a group that serves fewer in tiers, or hardly quicker, is dealt out evenly.
+"""Groups fast accelerators in chains of few stages, and the others in further chains.
+
+Load pattern: a fleet with several kinds of accelerators at less than half of its
+capacity, the rest of which is reserved for the loss of a zone or a burst.  With an even
+distribution, each chain has its part of the fast accelerators and waits for its slow
+ones at each token.  Grouped, the fast ones serve the usual load alone: streams are
+shorter, fewer are in flight at a failure, and fewer stages fail less often.  The others
+serve the excess, and hold the same layers in the same zone for moves of streams.
+
+The number of the fastest hosts to group is searched.  Throughput is never reduced for
+it: a group of hosts that serves fewer requests per second in tiers, or is hardly faster,
+is distributed evenly.
 """
 
 from __future__ import annotations
@@ -21,84 +22,88 @@
 from .engine_model import EngineSpec
 
 
-#: How many hosts the first tier gets, in multiples of the fewest that make a chain.
-#: Each costs a search of chains; between them the rates differ by some hundredths.
+#: The sizes of the first tier, in multiples of the minimum for a chain.  Each takes a
+#: search of chains; between them throughput differs by a few percent.
 _TIER_SIZES = (1.0, 1.25, 1.5, 2.0, 2.5, 3.0)
-#: The part of the most requests a second for which tokens should be quick: what is
-#: left when a zone of three goes, and traffic is a fifth above its mean, stays below.
-_USUAL_LOAD_PART = 0.4
-#: The part of a chain's requests a second that it gets before others are as quick: a
-#: fuller path is left for others (`local_paths.ZONE_FULLNESS`).
-_FILLED_PART = 0.6
-#: The fewest usual requests that a chain has to have room for at once.  What a smaller
-#: one takes is worth more as copies: one instance's burst fills it, and each runner of
-#: the zone then widens its range down to the same room.
-_LEAST_ROOM = 30.0
-#: How much quicker tokens have to be, as a part, for tiers to be used.  Chains dealt
-#: out evenly leave more runners over that hold copies: a fleet of which one zone of 12
-#: had tokens a hundredth quicker, and one spare less, was worth 0.06 less on a day.
-_LEAST_GAIN = 0.1
+#: The fraction of the maximum throughput for which token time is optimized: the traffic
+#: that two of three zones can serve stays above it, also at a fifth above its mean.
+_USUAL_LOAD_FRACTION = 0.4
+#: The fraction of a chain's throughput that is used before other chains are as fast:
+#: requests avoid a path with more load (`local_paths.ZONE_FULLNESS`).
+_FILL_FRACTION = 0.6
+#: The minimum number of typical requests that a chain runs concurrently.  The hosts of a
+#: smaller chain are worth more as replicas: one instance's burst fills it, and then the
+#: runners of the zone take on more layers until they have as little KV cache.
+_MIN_CONCURRENT_REQUESTS = 30.0
+#: The fraction by which token time has to improve for tiers to be used.  Evenly
+#: distributed chains leave more spare runners for replicas: a fleet in which one of 12
+#: zones had tokens 1% faster, and one spare fewer, scored 0.06 less on a day.
+_MIN_GAIN = 0.1
 
 
 def tiered_chains(hosts: Sequence[Host], engine: EngineSpec) -> list[Chain]:
-    """Return the chains of a group with the quickest tokens at the usual load.
+    """Return the chains of a group with the lowest token time at the usual load.
 
     Args:
         hosts: The group, such as the hosts of a zone.
-        engine: The engine's figures.
+        engine: The engine's specification.
     """
-    known: KnownSplits = {}
-    dealt = best_chains(hosts, engine, split_cache=known)
-    if not dealt:
+    split_cache: KnownSplits = {}
+    even = best_chains(hosts, engine, split_cache=split_cache)
+    if not even:
         return []
-    options = [dealt]
-    ordered = sorted(hosts, key=lambda one: speed_sort_key(one, engine))
-    for size in _first_tier_sizes(ordered, engine, known):
-        first = best_chains(ordered[:size], engine, split_cache=known)
-        behind = best_chains(ordered[size:], engine, split_cache=known)
+    options = [even]
+    ordered = sorted(hosts, key=lambda host: speed_sort_key(host, engine))
+    for size in _first_tier_sizes(ordered, engine, split_cache):
+        first = best_chains(ordered[:size], engine, split_cache=split_cache)
+        others = best_chains(ordered[size:], engine, split_cache=split_cache)
         options.append(
-            [one for one in (*first, *behind) if one.concurrent_requests >= _LEAST_ROOM]
+            [
+                chain
+                for chain in (*first, *others)
+                if chain.concurrent_requests >= _MIN_CONCURRENT_REQUESTS
+            ]
         )
-    enough = _rate(dealt)
-    load = enough * _USUAL_LOAD_PART
-    good = [one for one in options if _rate(one) >= enough]
-    best = min(good, key=lambda one: usual_token_ms(one, load))
-    least_ms = (1.0 - _LEAST_GAIN) * usual_token_ms(dealt, load)
-    return best if usual_token_ms(best, load) <= least_ms else dealt
+    min_rate = _total_rate(even)
+    load = min_rate * _USUAL_LOAD_FRACTION
+    sufficient = [chains for chains in options if _total_rate(chains) >= min_rate]
+    best = min(sufficient, key=lambda chains: usual_token_ms(chains, load))
+    max_token_ms = (1.0 - _MIN_GAIN) * usual_token_ms(even, load)
+    return best if usual_token_ms(best, load) <= max_token_ms else even
 
 
 def usual_token_ms(chains: Sequence[Chain], requests_per_s: float) -> float:
-    """Return how long a token takes on average at some load, in ms.
+    """Return the mean token time at some load, in ms.
 
-    Quick chains are filled first, each up to where paths are left for others; what is
-    beyond that takes as long as in the slowest.
+    The fastest chains are used first, each up to the load at which requests avoid it;
+    the excess has the token time of the slowest.
 
     Args:
-        chains: At least one.
+        chains: The chains, at least one.
         requests_per_s: The load, above zero.
     """
-    left = requests_per_s
+    remaining = requests_per_s
     total_ms = 0.0
     slowest_ms = 0.0
-    for chain in sorted(chains, key=lambda one: one.token_ms):
-        taken = min(left, _FILLED_PART * chain.requests_per_s)
-        total_ms += taken * chain.token_ms
-        left -= taken
+    for chain in sorted(chains, key=lambda chain: chain.token_ms):
+        assigned = min(remaining, _FILL_FRACTION * chain.requests_per_s)
+        total_ms += assigned * chain.token_ms
+        remaining -= assigned
         slowest_ms = chain.token_ms
-    return (total_ms + left * slowest_ms) / requests_per_s
+    return (total_ms + remaining * slowest_ms) / requests_per_s
 
 
 def _first_tier_sizes(
-    ordered: Sequence[Host], engine: EngineSpec, known: KnownSplits
+    ordered: Sequence[Host], engine: EngineSpec, split_cache: KnownSplits
 ) -> list[int]:
-    """Return how many of the quickest hosts to try as the first tier."""
-    for least in range(1, len(ordered)):
-        if best_chains(ordered[:least], engine, split_cache=known):
-            sizes = {round(least * part) for part in _TIER_SIZES}
+    """Return the numbers of the fastest hosts to try as the first tier."""
+    for min_size in range(1, len(ordered)):
+        if best_chains(ordered[:min_size], engine, split_cache=split_cache):
+            sizes = {round(min_size * factor) for factor in _TIER_SIZES}
             return sorted(size for size in sizes if size < len(ordered))
     return []
 
 
-def _rate(chains: Sequence[Chain]) -> float:
-    """Return the requests a second of all chains."""
+def _total_rate(chains: Sequence[Chain]) -> float:
+    """Return the total throughput of chains, in requests per second."""
     return sum(chain.requests_per_s for chain in chains)
