--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -74,7 +74,7 @@
             stall_s = clocks.now_s() - started_s - TICK_S
             if stall_s > LATE_S:
                 await asyncio.sleep(_RECEIVE_S)
-                self._sums.note_standstill(stall_s, now_s=clocks.now_s())
+                self._sums.exclude_stall(stall_s, now_s=clocks.now_s())
             self._tick(now_s=clocks.now_s())
 
     def _tick(self, *, now_s: float) -> None:
@@ -217,7 +217,7 @@
         ValueError: The bytes are incomplete.
     """
     if len(data) % _SERVER.size:
-        msg = f"{len(data)} bytes are no whole servers"
+        msg = f"{len(data)} bytes are an incomplete list of servers"
         raise ValueError(msg)
     return {
         number: ServerTotals(streams, units * float(_UNIT_TOKEN_LAYERS))
--- a/src/violethatch/load_sums.py
+++ b/src/violethatch/load_sums.py
@@ -283,7 +283,7 @@
             report.totals(now_s=now_s) for report in self._reports.values()
         )
 
-    def note_standstill(self, stall_s: float, *, now_s: float) -> None:
+    def exclude_stall(self, stall_s: float, *, now_s: float) -> None:
         """Exclude a stall of this instance from the time without reports of others.
 
         Args:
--- a/src/violethatch/turning_away.py
+++ b/src/violethatch/turning_away.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: MIT
-"""When callers who were turned away should come back.
+"""Computes the retry delay of rejected callers.
 
-Load pattern: a group of runners goes dark or a zone is cut, and many instances
-refuse many callers in the same seconds.  Told one and the same short time, all come
-back together, find the runners still gone, and have spent the retry that they have;
-or they come back together when the first room does, and fill it at once.
+Load pattern: a group of runners fails or a zone is partitioned, and many instances
+reject many callers within the same seconds.  With the same short delay for all, the
+callers retry at once, find the runners still unavailable, and have used up their retry;
+or they retry just as the first capacity is available, and exhaust it immediately.
 
-A caller is therefore told when what blocks it is thought to end, and the times are
-spread.  Nothing is held back for that: the answer goes out at once.
+The delay of a caller is therefore the expected duration of the cause, with jitter.  The
+rejection itself is not delayed.
 
 .. versionadded:: 26.2.0
 """
@@ -17,26 +17,27 @@
 import random
 
 
-#: The least time, in seconds: where runners are only full, some requests end by then.
-LEAST_S = 0.5
-#: The most, in seconds: after as long the list tells of runners that are gone for
-#: good (it drops them after three missed heartbeats), and the end of a rest is a guess.
-MOST_S = 3.0
-#: Over which part of the time on top of it callers are spread.
-_SPREAD_PART = 0.5
+#: The minimum delay, in seconds: if runners are only full, some requests end by then.
+MIN_DELAY_S = 0.5
+#: The maximum delay without a requested back-off, in seconds: by then the list of
+#: servers no longer has runners that are permanently lost (it removes them after three
+#: missed heartbeats), and the end of a cooldown is an estimate.
+MAX_DELAY_S = 3.0
+#: The maximum jitter as a fraction of the delay.
+_JITTER_FRACTION = 0.5
 
 
 def come_back_s(blocked_s: float, *, asked_s: float = 0.0, rng: random.Random) -> float:
-    """Return what to tell a caller who was turned away, in seconds.
+    """Return the retry delay of a rejected caller, in seconds.
 
     Args:
-        blocked_s: How long what blocks the caller is thought to last, in seconds.
-        asked_s: Until when servers have asked for rest, in seconds: that is no guess,
-            so that whoever comes back sooner is turned away again.
-        rng: Spreads callers.
+        blocked_s: The expected duration of the cause, in seconds.
+        asked_s: The remaining back-off that servers requested, in seconds: it is not an
+            estimate, and a caller that retries earlier is rejected again.
+        rng: The source of the jitter.
 
     .. versionadded:: 26.2.0
     """
-    guessed_s = min(MOST_S, max(LEAST_S, blocked_s))
-    spread_s = _SPREAD_PART * min(MOST_S, max(guessed_s, asked_s))
-    return round(max(guessed_s, asked_s) + spread_s * rng.random(), 2)
+    estimated_s = min(MAX_DELAY_S, max(MIN_DELAY_S, blocked_s))
+    jitter_s = _JITTER_FRACTION * min(MAX_DELAY_S, max(estimated_s, asked_s))
+    return round(max(estimated_s, asked_s) + jitter_s * rng.random(), 2)
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -13,11 +13,11 @@
 from violethatch.instances import InstanceDirectory
 from violethatch.load_sums import (
     FAN_OUT,
-    WORKSPACES_TTL_S,
-    NOTHING,
     INITIAL_SUSPECTED_S,
+    NOTHING,
     REPORT_TTL_S,
     UNLISTED_TTL_S,
+    WORKSPACES_TTL_S,
     Direction,
     LoadSums,
     LoadTotals,
--- a/tests/test_turning_away.py
+++ b/tests/test_turning_away.py
@@ -6,7 +6,7 @@
 import collections
 import random
 
-from violethatch.turning_away import LEAST_S, MOST_S, come_back_s
+from violethatch.turning_away import MAX_DELAY_S, MIN_DELAY_S, come_back_s
 
 
 class TestComeBack:
@@ -18,11 +18,11 @@
     def test_room_is_waited_for_briefly(self):
         """Where nothing is known to block, some requests end soon."""
         rng = random.Random(1)
-        assert LEAST_S <= come_back_s(0.0, rng=rng) <= 1.5 * LEAST_S
+        assert MIN_DELAY_S <= come_back_s(0.0, rng=rng) <= 1.5 * MIN_DELAY_S
 
     def test_long_rests_are_a_guess(self):
         """Nobody is sent away for longer than the list takes to tell."""
-        assert come_back_s(60.0, rng=random.Random(1)) <= 1.5 * MOST_S
+        assert come_back_s(60.0, rng=random.Random(1)) <= 1.5 * MAX_DELAY_S
 
     def test_callers_of_one_moment_come_back_spread(self):
         """195 instances refuse two callers each in the moment a group goes dark."""
