--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -9,7 +9,7 @@
 serve the excess, and hold the same layers in the same zone for moves of streams.
 
 The number of the fastest hosts to group is searched.  Throughput is never reduced for
-it: a group of hosts that serves fewer requests per second in tiers, or is hardly faster,
+it: a set of hosts that serves fewer requests per second in tiers, or is hardly faster,
 is distributed evenly.
 """
 
@@ -25,19 +25,20 @@
 #: The sizes of the first tier, in multiples of the minimum for a chain.  Each takes a
 #: search of chains; between them throughput differs by a few percent.
 _TIER_SIZES = (1.0, 1.25, 1.5, 2.0, 2.5, 3.0)
-#: The fraction of the maximum throughput for which token time is optimized: the traffic
-#: that two of three zones can serve stays above it, also at a fifth above its mean.
+#: The fraction of the maximum throughput for which token time is optimized: at this load,
+#: two of three zones stay below their maximum if the third is lost while traffic is a
+#: fifth above its mean.
 _USUAL_LOAD_FRACTION = 0.4
 #: The fraction of a chain's throughput that is used before other chains are as fast:
 #: requests avoid a path with more load (`local_paths.ZONE_FULLNESS`).
 _FILL_FRACTION = 0.6
-#: The minimum number of typical requests that a chain runs concurrently.  The hosts of a
-#: smaller chain are worth more as replicas: one instance's burst fills it, and then the
-#: runners of the zone take on more layers until they have as little KV cache.
+#: The minimum number of typical requests that a chain has to run concurrently.  The
+#: hosts of a smaller chain are worth more as replicas: a burst from one instance fills
+#: it, and the runners of the zone then extend their layers until they run as few.
 _MIN_CONCURRENT_REQUESTS = 30.0
 #: The fraction by which token time has to improve for tiers to be used.  Evenly
-#: distributed chains leave more spare runners for replicas: a fleet in which one of 12
-#: zones had tokens 1% faster, and one spare fewer, scored 0.06 less on a day.
+#: distributed chains leave more spare runners for replicas: a fleet with tokens 1%
+#: faster in one zone of 12, and one spare fewer, scored 0.06 less on a day.
 _MIN_GAIN = 0.1
 
 
