--- a/src/violethatch/_tiers.py
+++ b/src/violethatch/_tiers.py
@@ -25,9 +25,9 @@
 #: The sizes of the first tier, in multiples of the minimum for a chain.  Each takes a
 #: search of chains; between them throughput differs by a few percent.
 _TIER_SIZES = (1.0, 1.25, 1.5, 2.0, 2.5, 3.0)
-#: The fraction of the maximum throughput for which token time is optimized: at this load,
-#: two of three zones stay below their maximum if the third is lost while traffic is a
-#: fifth above its mean.
+#: The fraction of the maximum throughput for which token time is optimized: at this
+#: load, two of three zones stay below their maximum if the third is lost while traffic
+#: is a fifth above its mean.
 _USUAL_LOAD_FRACTION = 0.4
 #: The fraction of a chain's throughput that is used before other chains are as fast:
 #: requests avoid a path with more load (`local_paths.ZONE_FULLNESS`).
--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -166,7 +166,7 @@
         data[0] > MOST_KEYS_SENT
         or workspaces_bytes > MOST_HEAVIEST_SENT * _WORKSPACE.size
     ):
-        msg = f"{len(data)} bytes with {data[0]} keys exceed the size of a demand"
+        msg = f"{len(data)} bytes with {data[0]} keys are too large for a demand"
         raise ValueError(msg)
     keys = _KEY.iter_unpack(data[_COUNT_BYTES:workspaces_start])
     workspaces = _WORKSPACE.iter_unpack(data[workspaces_start:])
--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -64,10 +64,8 @@
     def _change(self, number: int, servers: Mapping[int, ServerTotals]) -> float:
         """Return the difference between a server's current and sent totals."""
         sent = self._sent.get(number)
-        previous = sent.totals if sent is not None else _NO_STREAMS
-        return abs(
-            servers.get(number, _NO_STREAMS).token_layers - previous.token_layers
-        )
+        known = sent.totals if sent is not None else _NO_STREAMS
+        return abs(servers.get(number, _NO_STREAMS).token_layers - known.token_layers)
 
     def _sent_round(self, number: int) -> int:
         """Return the round in which a server was last sent."""
--- a/tests/test_load_link.py
+++ b/tests/test_load_link.py
@@ -277,7 +277,7 @@
         link = LoadLink(datagrams, StreamLoads())
         message = LoadDatagram("t", "i1", "u", 1, 0.0, 0, b"", packed(OFFERED)[:-1])
         with pytest.raises(ValueError, match="complete"):
-            link._take(message)
+            link._receive(message)
         datagrams.datagram_received(encoded(message), None)
 
     @given(st.dictionaries(st.integers(0, 2**32 - 1), st.integers(0, 10**6)))
