--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Instances that are offered requests and tell each other along their tree."""
+"""Simulated instances that count offers and exchange sums along their tree."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 KEY = DemandKey(7, 1)
 SERVICE = 77
 PRIORITIES = (0, 1, 2)
-#: 24 workspaces, whose shares have a skew of 1.2.
+#: 24 workspaces with a Zipf exponent of 1.2.
 WORKSPACES = range(24)
 SKEWED = [(1 + rank) ** -1.2 for rank in WORKSPACES]
-#: What is offered per second to 72 instances or fewer; more have more in proportion.
+#: The total offers per second of up to 72 instances; proportionally more beyond.
 OFFERS_PER_S = 145
 ZONE_SIZES = {8: (3, 3, 2), 72: (24, 24, 24), 350: (117, 117, 116)}
 
 
 def of_workspaces(rates_per_s):
-    """Return a demand of one key from some workspaces."""
+    """Return the demand of one key from some workspaces."""
     return Demand(
         {KEY: sum(rates_per_s.values())},
         {(KEY, workspace): rate for workspace, rate in rates_per_s.items()},
@@ -36,100 +36,107 @@
 
 
 class Offers(NamedTuple):
-    """How requests come to each instance."""
+    """The arrival process of requests at each instance."""
 
     per_s: float
     weights: tuple[float, ...] = tuple(SKEWED)
-    #: Whether they come at random and not evenly.
+    #: Whether arrivals are a Poisson process instead of evenly spaced.
     is_random: bool = False
 
 
 @functools.cache
 def directories(instances):
-    """Return each instance's list of all, made once since the ranks take long."""
+    """Return each instance's directory, cached since computing the ranks is slow."""
     entries = {
         f"{zone}-{n}": entry(f"{zone}-{n}", zone=f"z{zone}")
         for zone, size in enumerate(ZONE_SIZES[instances])
         for n in range(size)
     }
-    made = {}
-    for one in entries.values():
-        made[one.id] = InstanceDirectory(one)
-        made[one.id].take(entries, is_whole=True)
-    return made
+    by_id = {}
+    for own in entries.values():
+        by_id[own.id] = InstanceDirectory(own)
+        by_id[own.id].take(entries, is_whole=True)
+    return by_id
 
 
 @functools.cache
 def ranked_sums(instances):
-    """Return one `LoadSums` by instance, whose ranks others of it may use."""
-    made = {one: LoadSums(known) for one, known in directories(instances).items()}
-    for sums in made.values():
+    """Return a `LoadSums` for each instance, as a source of computed ranks."""
+    by_id = {
+        instance_id: LoadSums(directory)
+        for instance_id, directory in directories(instances).items()
+    }
+    for sums in by_id.values():
         sums._zones()
-    return made
+    return by_id
 
 
 def new_sums(instances):
-    """Return each instance's sums, which have heard nothing yet."""
-    made = {}
-    for one, known in ranked_sums(instances).items():
-        made[one] = LoadSums(known._directory)
-        made[one]._ranks_revision = known._ranks_revision
-        made[one]._ranks_by_zone = known._ranks_by_zone
-        made[one]._tokens = known._tokens
-    return made
+    """Return each instance's sums, without reports."""
+    by_id = {}
+    for instance_id, ranked in ranked_sums(instances).items():
+        by_id[instance_id] = LoadSums(ranked._directory)
+        by_id[instance_id]._ranks_revision = ranked._ranks_revision
+        by_id[instance_id]._ranks_by_zone = ranked._ranks_by_zone
+        by_id[instance_id]._tokens = ranked._tokens
+    return by_id
 
 
 class DemandReplay:
-    """A fleet whose instances tick at moments of their own, as in operation.
+    """A fleet whose instances tick at different times, as in production.
 
-    What goes over the wire is packed as `LoadLink` does it, within its bytes.
+    Datagrams have the encoding and size limits of `LoadLink`.
     """
 
-    def __init__(self, instances, *, rng, is_lockstep=False, loss=0.0, doubled=0.0):
+    def __init__(self, instances, *, rng, is_lockstep=False, loss=0.0, duplicated=0.0):
         self.rng = rng
         self.loss = loss
-        self.doubled = doubled
+        self.duplicated = duplicated
         self.is_lockstep = is_lockstep
         self.sums = new_sums(instances)
         self.start_s = 100.0
         self.ticks = 0
         self.now_s = self.start_s
-        self.phases = {one: 0.0 if is_lockstep else rng.random() for one in self.sums}
-        self.order = sorted(self.sums, key=lambda one: self.phases[one])
-        self.counters = {one: DemandCounter() for one in self.sums}
+        self.phases = {
+            instance_id: 0.0 if is_lockstep else rng.random()
+            for instance_id in self.sums
+        }
+        self.order = sorted(self.sums, key=lambda instance_id: self.phases[instance_id])
+        self.counters = {instance_id: DemandCounter() for instance_id in self.sums}
         self.offers = Offers(OFFERS_PER_S / min(72, instances))
         self.next_offer_s = {
-            one: self.start_s + rng.random() / self.offers.per_s for one in self.sums
+            instance_id: self.start_s + rng.random() / self.offers.per_s
+            for instance_id in self.sums
         }
-        self.feeds = {one: DemandFeed() for one in self.sums}
-        self.turns = dict.fromkeys(self.sums, 0)
-        self.dead = set()
-        #: When each offer came.
+        self.feeds = {instance_id: DemandFeed() for instance_id in self.sums}
+        self.next_indexes = dict.fromkeys(self.sums, 0)
+        self.crashed = set()
+        #: The times of all offers.
         self.offered_s = []
 
     def run(self, seconds):
-        """Let time go on, by whole ticks."""
+        """Advance time by whole ticks."""
         for _ in range(round(seconds / TICK_S)):
-            words = []
+            datagrams = []
             tick_s = self.start_s + self.ticks * TICK_S
-            for one in self.order:
-                self.now_s = tick_s + self.phases[one] * TICK_S
-                if one not in self.dead:
-                    self._offer(one)
-                    words += self._words(one)
+            for instance_id in self.order:
+                self.now_s = tick_s + self.phases[instance_id] * TICK_S
+                if instance_id not in self.crashed:
+                    self._offer(instance_id)
+                    datagrams += self._datagrams(instance_id)
                 if not self.is_lockstep:
-                    self._deliver(words)
-            self._deliver(words)
+                    self._deliver(datagrams)
+            self._deliver(datagrams)
             self.ticks += 1
             self.now_s = self.start_s + self.ticks * TICK_S
-        for one in self.alive():
-            self._offer(one)
+        for instance_id in self.running():
+            self._offer(instance_id)
 
-    def _offer(self, one):
-        """Count what has been offered to an instance since its last tick."""
+    def _offer(self, instance_id):
+        """Count the offers to an instance since its last tick."""
         offers = self.offers
-        at_s = self.next_offer_s[one]
-        counter = self.counters[one]
+        at_s = self.next_offer_s[instance_id]
+        counter = self.counters[instance_id]
         while at_s < self.now_s:
             priority = self.rng.choice(PRIORITIES)
             workspace = self.rng.choices(WORKSPACES, offers.weights)[0]
@@ -139,60 +146,72 @@
                 at_s += self.rng.expovariate(offers.per_s)
             else:
                 at_s += 1 / offers.per_s
-        self.next_offer_s[one] = at_s
+        self.next_offer_s[instance_id] = at_s
 
-    def _words(self, one):
-        """Return what an instance tells in a tick."""
-        sums = self.sums[one]
+    def _datagrams(self, instance_id):
+        """Return the datagrams that an instance sends in a tick."""
+        sums = self.sums[instance_id]
         sums.refresh(now_s=self.now_s)
         neighbours = sums.neighbours(now_s=self.now_s)
-        told = min(len(neighbours), _load_link.MOST_TOLD_A_TICK)
-        if not told:
+        recipient_count = min(len(neighbours), _load_link.MOST_TOLD_A_TICK)
+        if not recipient_count:
             return []
-        demand = self.counters[one].demand(now_s=self.now_s)
+        demand = self.counters[instance_id].demand(now_s=self.now_s)
         own = LoadTotals(1, 0.0, {}, demand=demand)
-        first = self.turns[one] % len(neighbours)
-        self.turns[one] += told
-        said = {
+        first = self.next_indexes[instance_id] % len(neighbours)
+        self.next_indexes[instance_id] += recipient_count
+        totals_by_neighbour = {
             to: sums.sum_for(to, neighbours[to], own, now_s=self.now_s)
-            for to in (list(neighbours) * 2)[first : first + told]
+            for to in (list(neighbours) * 2)[first : first + recipient_count]
         }
-        demands = self.feeds[one].pack(
-            {to: totals.demand for to, totals in said.items()},
-            most_bytes=_load_link.max_demand_bytes(told),
+        demands = self.feeds[instance_id].pack(
+            {to: totals.demand for to, totals in totals_by_neighbour.items()},
+            most_bytes=_load_link.max_demand_bytes(recipient_count),
         )
         return [
-            (one, to, neighbours[to], totals._replace(demand=unpacked(demands[to])))
-            for to, totals in said.items()
+            (
+                instance_id,
+                to,
+                neighbours[to],
+                totals._replace(demand=unpacked(demands[to])),
+            )
+            for to, totals in totals_by_neighbour.items()
         ]
 
-    def _deliver(self, words):
-        """Let words arrive, but for those that are lost."""
-        for one, to, direction, said in words:
+    def _deliver(self, datagrams):
+        """Deliver datagrams, except for lost ones."""
+        for sender, to, direction, totals in datagrams:
             draw = self.rng.random()
-            if to in self.dead or draw < self.loss:
+            if to in self.crashed or draw < self.loss:
                 continue
-            for _ in range(2 if draw > 1 - self.doubled else 1):
-                self.sums[to].take(one, direction, said, now_s=self.now_s)
-        words.clear()
+            for _ in range(2 if draw > 1 - self.duplicated else 1):
+                self.sums[to].take(sender, direction, totals, now_s=self.now_s)
+        datagrams.clear()
 
-    def known(self, one):
-        """Return the demand that an instance knows of, its own included."""
-        sums = self.sums[one]
+    def known_demand(self, instance_id):
+        """Return the demand known to an instance, including its own."""
+        sums = self.sums[instance_id]
         sums.refresh(now_s=self.now_s)
-        own = LoadTotals(1, 0.0, {}, demand=self.counters[one].demand(now_s=self.now_s))
+        own = LoadTotals(
+            1, 0.0, {}, demand=self.counters[instance_id].demand(now_s=self.now_s)
+        )
         return sums.sum_for("", _load_link.Direction.DOWN, own, now_s=self.now_s).demand
 
     def rates(self):
-        """Return the rate of all offers, as each living instance knows it."""
-        return [sum(self.known(one).offers_per_s.values()) for one in self.alive()]
+        """Return the total offer rate known to each running instance."""
+        return [
+            sum(self.known_demand(instance_id).offers_per_s.values())
+            for instance_id in self.running()
+        ]
 
-    def alive(self):
-        """Return who is not dead."""
-        return [one for one in self.sums if one not in self.dead]
+    def running(self):
+        """Return the instances that have not crashed."""
+        return [
+            instance_id for instance_id in self.sums if instance_id not in self.crashed
+        ]
 
     def counts(self, lag_s):
-        """Return all offers of one second, for ends of it up to `lag_s` ago."""
+        """Return the offers of each second that ended up to `lag_s` ago."""
         times = sorted(self.offered_s)
         ends_s = [self.now_s - lag_s * step / 30 for step in range(31)]
         return [bisect(times, end_s) - bisect(times, end_s - 1.0) for end_s in ends_s]
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Demand: counted at an instance, packed, and summed along the tree."""
+"""Demand: counting, encoding, and sums along the tree."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
 )
 
 
-class TestPacked:
+class TestEncoding:
     @given(demands)
-    def test_packed_demand_comes_back(self, demand):
+    def test_round_trip(self, demand):
         """Guards against a rate that arrives under another key or workspace."""
         assert unpacked(packed(demand)) == demand
 
     @given(st.binary(max_size=400))
-    def test_noise_is_a_value_error(self, data):
-        """Guards against another exception, which would end the reader."""
+    def test_invalid_bytes_raise_value_error(self, data):
+        """Guards against another exception, which would terminate the receiver."""
         try:
             demand = unpacked(data)
         except ValueError:
@@ -65,64 +65,64 @@
         data = packed(Demand({KEY: 2.5}, {(KEY, 9): 1.5}))
         assert data == b"\1" + struct.pack("<IBHIBIH", 7, 1, 20, 7, 1, 9, 12)
 
-    def test_incomplete_bytes_are_refused(self):
-        """Guards against a datagram cut short that is read as less demand."""
+    def test_incomplete_bytes_are_rejected(self):
+        """Guards against a truncated datagram that is decoded as less demand."""
         data = packed(of_workspaces({1: 3.0, 2: 5.0}))
-        whole = {len(data), len(data) - 11, len(data) - 22, 0}
-        for length in set(range(len(data))) - whole:
+        valid_lengths = {len(data), len(data) - 11, len(data) - 22, 0}
+        for length in set(range(len(data))) - valid_lengths:
             with pytest.raises(ValueError, match="complete"):
                 unpacked(data[:length])
 
-    def test_too_many_entries_are_refused(self):
+    def test_too_many_entries_are_rejected(self):
         """Guards against a datagram that makes the sums large."""
         for data in (bytes([13]) + bytes(13 * 7), b"\0" + bytes(9 * 11)):
             with pytest.raises(ValueError, match="large"):
                 unpacked(data)
 
-    def test_the_largest_go(self):
-        """Guards against small keys or workspaces in the place of large ones."""
+    def test_largest_entries_are_sent(self):
+        """Guards against small keys or workspaces that displace large ones."""
         offers = {DemandKey(7, priority): 1.0 + priority for priority in range(40)}
         heaviest = {(KEY, workspace): 1.0 + workspace for workspace in range(40)}
         data = packed(Demand(offers, heaviest))
         assert len(data) == MOST_BYTES
-        back = unpacked(data)
-        assert list(back.offers_per_s.values()) == [40.0 - n for n in range(12)]
-        assert list(back.heaviest_per_s.values()) == [40.0 - n for n in range(8)]
+        decoded = unpacked(data)
+        assert list(decoded.offers_per_s.values()) == [40.0 - n for n in range(12)]
+        assert list(decoded.heaviest_per_s.values()) == [40.0 - n for n in range(8)]
 
-    def test_the_largest_go_first(self):
-        """Guards against an order of the keys that depends on when they were seen."""
+    def test_largest_keys_are_first(self):
+        """Guards against an order of the keys that depends on insertion order."""
         data = packed(Demand({KEY: 1.0, DemandKey(9, 0): 2.0}, {}))
         assert list(unpacked(data).offers_per_s) == [DemandKey(9, 0), KEY]
 
     @given(demands, st.integers(0, MOST_BYTES))
     def test_bytes_are_bounded(self, demand, most_bytes):
-        """Guards against datagrams above their bytes; keys go before workspaces."""
+        """Guards against datagrams above their limit; keys precede workspaces."""
         data = packed(demand, most_bytes=most_bytes)
         assert len(data) <= most_bytes
-        back = unpacked(data)
-        assert back.offers_per_s.items() <= demand.offers_per_s.items()
-        if back.heaviest_per_s:
-            assert back.offers_per_s == demand.offers_per_s
+        decoded = unpacked(data)
+        assert decoded.offers_per_s.items() <= demand.offers_per_s.items()
+        if decoded.heaviest_per_s:
+            assert decoded.offers_per_s == demand.offers_per_s
 
-    def test_rates_beyond_the_field(self):
-        """Guards against an overflow that ends the sender; what rounds to 0 is none."""
+    def test_rates_outside_field_range(self):
+        """Guards against an overflow in the sender; rates that round to 0 are omitted."""
         assert unpacked(packed(Demand({KEY: 1e9}, {}))).offers_per_s == {KEY: 8191.875}
         assert packed(Demand({KEY: 0.06}, {(KEY, 1): 0.06})) == b""
         assert packed(NO_DEMAND) == b""
 
 
 class TestTotalDemand:
-    def test_rates_add_up(self):
-        """Guards against a part that replaces another's rate."""
+    def test_rates_are_summed(self):
+        """Guards against a demand that replaces the rate of another."""
         both = total_demand([of_workspaces({1: 2.0, 2: 1.0}), of_workspaces({1: 3.0})])
         assert both == of_workspaces({1: 5.0, 2: 1.0})
 
-    def test_nothing_is_no_demand(self):
-        """Guards against work, or bytes, where no service is governed."""
+    def test_sum_of_no_demand(self):
+        """Guards against work and bytes without admission control."""
         assert total_demand([NO_DEMAND] * 3) is NO_DEMAND
 
-    def test_kept_entries_are_bounded(self):
-        """Guards against sums that grow with what neighbours send."""
+    def test_entries_of_sum_are_bounded(self):
+        """Guards against sums that grow with the neighbours' datagrams."""
         parts = [
             Demand(
                 {DemandKey(service, 0): 1.0 + service for service in numbers},
@@ -130,15 +130,15 @@
             )
             for numbers in (range(100), range(100, 200))
         ]
-        kept = total_demand(parts)
-        assert len(kept.offers_per_s) == MOST_KEYS_KEPT
-        assert len(kept.heaviest_per_s) == MOST_HEAVIEST_KEPT
-        assert min(kept.heaviest_per_s.values()) == 200 - MOST_HEAVIEST_KEPT + 1
+        summed = total_demand(parts)
+        assert len(summed.offers_per_s) == MOST_KEYS_KEPT
+        assert len(summed.heaviest_per_s) == MOST_HEAVIEST_KEPT
+        assert min(summed.heaviest_per_s.values()) == 200 - MOST_HEAVIEST_KEPT + 1
 
 
 class TestDemandCounter:
-    def test_offers_count_for_a_second(self):
-        """Guards against offers that are lost early or counted for longer."""
+    def test_offers_count_for_one_second(self):
+        """Guards against offers that expire too early or too late."""
         counter = DemandCounter()
         for n in range(40):
             counter.offered(KEY, n % 2, now_s=100.0 + n / 40)
@@ -147,7 +147,7 @@
         assert half == pytest.approx(20.0)
         assert counter.demand(now_s=102.0) is NO_DEMAND
 
-    def test_window_moves_smoothly(self):
+    def test_window_slides_smoothly(self):
         """Guards against a rate that jumps with the slices of the window."""
         counter = DemandCounter()
         for n in range(4000):
@@ -157,40 +157,40 @@
                 rate = counter.demand(now_s=now_s).offers_per_s[KEY]
                 assert rate == pytest.approx(1000.0, abs=2.0)
 
-    def test_pause_leaves_nothing(self):
-        """Guards against offers before a pause that count after it."""
+    def test_offers_expire_during_pause(self):
+        """Guards against offers from before a pause that are counted after it."""
         counter = DemandCounter()
         counter.offered(KEY, 1, now_s=5.0)
         counter.offered(KEY, 2, now_s=5000.0)
         assert counter.demand(now_s=5000.1) == of_workspaces({2: 1.0})
 
     @pytest.mark.parametrize("seed", range(50))
-    def test_heavy_ones_are_right_among_many(self, seed):
-        """Guards against a flood of names that hides heavy ones, or inflates them."""
+    def test_heavy_workspaces_are_accurate_among_many(self, seed):
+        """Guards against many distinct workspaces that hide or inflate heavy ones."""
         rng = random.Random(seed)
         counter = DemandCounter()
-        right = collections.Counter()
+        expected = collections.Counter()
         offers = 8000
         for n in range(offers):
             is_heavy = rng.random() < 0.5
             workspace = rng.randrange(10) if is_heavy else rng.randrange(10, 2**32)
             key = DemandKey(workspace if n % 2 else 7, 1)
-            right[key] += 1
-            right[key, workspace] += 1
+            expected[key] += 1
+            expected[key, workspace] += 1
             counter.offered(key, workspace, now_s=100.0 + n / offers)
-        known = counter.demand(now_s=101.0)
-        most_missing = offers / (MIN_COUNTERS + 1)
+        measured = counter.demand(now_s=101.0)
+        max_error = offers / (MIN_COUNTERS + 1)
         for heavy in range(10):
-            assert (DemandKey(7, 1), heavy) in known.heaviest_per_s
-        for rates_per_s in known:
+            assert (DemandKey(7, 1), heavy) in measured.heaviest_per_s
+        for rates_per_s in measured:
             for entry, rate in rates_per_s.items():
-                assert right[entry] - most_missing <= rate <= right[entry]
-        named = known.offers_per_s.keys() | known.heaviest_per_s.keys()
-        kept = [entry for entry, count in right.items() if count > 4 * most_missing]
-        assert named >= set(kept)
+                assert expected[entry] - max_error <= rate <= expected[entry]
+        reported = measured.offers_per_s.keys() | measured.heaviest_per_s.keys()
+        frequent = [entry for entry, count in expected.items() if count > 4 * max_error]
+        assert reported >= set(frequent)
 
     def test_memory_is_bounded(self):
-        """Guards against memory that grows with names that callers choose."""
+        """Guards against memory that grows with the number of workspaces of callers."""
         counter = DemandCounter()
         tracemalloc.start()
         try:
@@ -204,50 +204,50 @@
         assert late_bytes < 2_000_000
         assert late_bytes < 1.5 * early_bytes
 
-    def test_an_offer_is_cheap(self):
-        """Guards against counting that takes a notable part of a request's time."""
+    def test_counting_cost_is_bounded(self):
+        """Guards against counting that takes a noticeable part of a request's time."""
         costs_s = []
         for spread in (24, 2**32):
             rng = random.Random(spread)
-            names = [rng.randrange(spread) for _ in range(5000)]
+            workspaces = [rng.randrange(spread) for _ in range(5000)]
             counter = DemandCounter()
             batches_s = []
             for batch in range(5):
                 started_s = time.process_time()
-                for n, name in enumerate(names):
-                    counter.offered(KEY, name, now_s=batch + n / 5000)
-                batches_s.append((time.process_time() - started_s) / len(names))
+                for n, workspace in enumerate(workspaces):
+                    counter.offered(KEY, workspace, now_s=batch + n / 5000)
+                batches_s.append((time.process_time() - started_s) / len(workspaces))
             costs_s.append(min(batches_s))
         assert max(costs_s) < 10e-6
 
 
 class TestDemandFeed:
-    def test_all_are_told_workspaces_in_turn(self):
-        """Guards against a neighbour that never hears of the heaviest ones."""
+    def test_neighbours_receive_workspaces_in_turn(self):
+        """Guards against a neighbour that never receives the heaviest workspaces."""
         feed = DemandFeed()
         demand = of_workspaces({n: 10.0 + n for n in range(8)})
-        named = collections.Counter()
+        reported = collections.Counter()
         for _ in range(6):
-            told = feed.pack(dict.fromkeys("abcde", demand), most_bytes=310)
-            assert sum(map(len, told.values())) <= 310
-            for one, data in told.items():
-                back = unpacked(data)
-                assert back.offers_per_s == demand.offers_per_s
-                named[one] += back.heaviest_per_s == demand.heaviest_per_s
-        assert min(named[one] for one in "abcde") >= 2
-
-    def test_who_came_back_is_told_first(self):
-        """Guards against a neighbour that waits for those told more often."""
+            encoded = feed.pack(dict.fromkeys("abcde", demand), most_bytes=310)
+            assert sum(map(len, encoded.values())) <= 310
+            for neighbour, data in encoded.items():
+                decoded = unpacked(data)
+                assert decoded.offers_per_s == demand.offers_per_s
+                reported[neighbour] += decoded.heaviest_per_s == demand.heaviest_per_s
+        assert min(reported[neighbour] for neighbour in "abcde") >= 2
+
+    def test_returning_neighbour_is_first(self):
+        """Guards against a neighbour that waits for those that were sent more."""
         feed = DemandFeed()
         demand = of_workspaces({n: 10.0 + n for n in range(8)})
         for _ in range(4):
             feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
         feed.forget("c")
-        told = feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
-        assert unpacked(told["c"]).heaviest_per_s
+        encoded = feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
+        assert unpacked(encoded["c"]).heaviest_per_s
 
-    def test_nothing_offered_is_nothing_told(self):
-        """Guards against bytes where no service is governed."""
-        told = DemandFeed().pack({"a": NO_DEMAND, "b": NO_DEMAND}, most_bytes=510)
-        assert told == {"a": b"", "b": b""}
+    def test_no_demand_has_no_bytes(self):
+        """Guards against bytes without admission control."""
+        encoded = DemandFeed().pack({"a": NO_DEMAND, "b": NO_DEMAND}, most_bytes=510)
+        assert encoded == {"a": b"", "b": b""}
         assert DemandFeed().pack({}, most_bytes=0) == {}
--- a/tests/test_request_room.py
+++ b/tests/test_request_room.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Whether an instance has room, and what that does to skewed connections."""
+"""Readiness of an instance, and its effect on skewed connections."""
 
 from __future__ import annotations
 
@@ -13,135 +13,133 @@
 MAX_REQUESTS = 400
 
 
-def check(room, in_flight, mean_of_others):
-    """Ask for an instance's room."""
-    return room.check(
+def check(readiness, in_flight, mean_of_others):
+    """Check an instance's readiness."""
+    return readiness.check(
         in_flight, max_requests=MAX_REQUESTS, mean_of_others=mean_of_others
     )
 
 
 class TestRequestRoom:
-    def test_instance_that_most_requests_come_to_is_full(self):
-        """Before it has to refuse any, and until half of its room is free."""
-        room = RequestRoom()
-        assert check(room, 299, 10.0)
-        assert not check(room, 300, 10.0)
-        assert not check(room, 201, 10.0)
-        assert check(room, 199, 10.0)
-        assert check(room, 299, 10.0)
-
-    def test_instance_that_is_as_full_as_the_others_goes_on(self):
-        """Nobody would be served elsewhere."""
-        room = RequestRoom()
-        assert check(room, 400, 210.0)
-        assert check(room, 400, None)
-        assert not check(room, 400, 100.0)
-        assert check(room, 400, 210.0)
+    def test_instance_with_skewed_load_is_full(self):
+        """It is full before it has to reject requests, until it is below half of its limit."""
+        readiness = RequestRoom()
+        assert check(readiness, 299, 10.0)
+        assert not check(readiness, 300, 10.0)
+        assert not check(readiness, 201, 10.0)
+        assert check(readiness, 199, 10.0)
+        assert check(readiness, 299, 10.0)
+
+    def test_instance_with_balanced_load_stays_ready(self):
+        """The other instances would not serve its requests either."""
+        readiness = RequestRoom()
+        assert check(readiness, 400, 210.0)
+        assert check(readiness, 400, None)
+        assert not check(readiness, 400, 100.0)
+        assert check(readiness, 400, 210.0)
 
 
 class TestNewConnections:
     @pytest.mark.parametrize(
-        ("in_flight", "mean_of_others", "is_taken"),
+        ("in_flight", "mean_of_others", "is_accepted"),
         [(399, 10.0, True), (400, 10.0, False), (400, 210.0, True), (400, None, True)],
     )
-    def test_none_is_taken_where_others_have_room(
-        self, in_flight, mean_of_others, is_taken
+    def test_rejected_at_limit_if_others_have_capacity(
+        self, in_flight, mean_of_others, is_accepted
     ):
-        """Its request would be refused here, and served there."""
-        assert is_taken is may_connect(
+        """Its request would be rejected here, and served elsewhere."""
+        assert is_accepted is may_connect(
             in_flight, max_requests=MAX_REQUESTS, mean_of_others=mean_of_others
         )
 
 
-#: A balancer that takes an instance out after two checks without a 200.
+#: A load balancer that removes an instance after two checks without a 200.
 CHECK_S = 0.5
 FAILED_CHECKS = 2
-BUSY_PART = 7 / 8
+SKEWED_FRACTION = 7 / 8
 STREAM_S = 3.0
 STEP_S = 0.05
 REPORT_S = 1.0
-CONTACT_S = 3.0
+WARMUP_S = 3.0
 
 
-class Balanced:
-    """Instances behind a balancer that prefers one of those that are in."""
+class SkewedBalancer:
+    """Instances behind a load balancer that prefers one of those in rotation."""
 
-    def __init__(self, instances, rate_a_s, seed):
+    def __init__(self, instances, rate_per_s, seed):
         self.rng = random.Random(seed)
-        self.rate_a_s = rate_a_s
-        self.rooms = [RequestRoom() for _ in range(instances)]
+        self.rate_per_s = rate_per_s
+        self.readiness_checks = [RequestRoom() for _ in range(instances)]
         self.in_flight = [0] * instances
         self.failed = [0] * instances
         self.reported = list(self.in_flight)
-        self.ends = []
+        self.completions = []
         self.preferred = 0
 
-    def play(self, played_s):
-        """Return how many requests were sent and refused after the first seconds."""
-        sent = refused = 0
+    def run(self, duration_s):
+        """Return the requests that were sent and rejected after the warm-up."""
+        sent = rejected = 0
         self.unread = 0
-        for step in range(round(played_s / STEP_S)):
+        for step in range(round(duration_s / STEP_S)):
             now_s = step * STEP_S
-            while self.ends and self.ends[0][0] <= now_s:
-                self.in_flight[self.ends.pop(0)[1]] -= 1
+            while self.completions and self.completions[0][0] <= now_s:
+                self.in_flight[self.completions.pop(0)[1]] -= 1
             if step % round(REPORT_S / STEP_S) == 0:
                 self.reported = list(self.in_flight)
             if step % round(CHECK_S / STEP_S) == 0:
-                self._check_all()
-            for _ in range(round(self.rate_a_s * STEP_S)):
+                self._check_instances()
+            for _ in range(round(self.rate_per_s * STEP_S)):
                 is_served = self._send(now_s)
-                if now_s >= CONTACT_S:
+                if now_s >= WARMUP_S:
                     sent += 1
-                    refused += not is_served
-        return sent, refused
+                    rejected += not is_served
+        return sent, rejected
 
-    def _check_all(self):
-        """Ask all instances whether they are ready."""
+    def _check_instances(self):
+        """Check the readiness of all instances."""
         total = sum(self.reported)
-        for number, room in enumerate(self.rooms):
-            mean = (total - self.reported[number]) / (len(self.rooms) - 1)
-            has_room = check(room, self.in_flight[number], mean)
-            self.failed[number] = 0 if has_room else self.failed[number] + 1
+        for number, readiness in enumerate(self.readiness_checks):
+            mean = (total - self.reported[number]) / (len(self.readiness_checks) - 1)
+            is_ready = check(readiness, self.in_flight[number], mean)
+            self.failed[number] = 0 if is_ready else self.failed[number] + 1
         if self.failed[self.preferred] >= FAILED_CHECKS:
-            self.preferred = self.rng.choice(self._in())
+            self.preferred = self.rng.choice(self._in_rotation())
 
-    def _takes(self, number):
-        """Tell whether an instance takes a new connection."""
+    def _accepts(self, number):
+        """Return whether an instance accepts a new connection."""
         others = sum(self.reported) - self.reported[number]
         return may_connect(
             self.in_flight[number],
             max_requests=MAX_REQUESTS,
-            mean_of_others=others / (len(self.rooms) - 1),
+            mean_of_others=others / (len(self.readiness_checks) - 1),
         )
 
-    def _in(self):
-        """Return the instances that are in, or all if too few are."""
-        numbers = range(len(self.rooms))
-        ready = [one for one in numbers if self.failed[one] < FAILED_CHECKS]
-        return ready if 2 * len(ready) >= len(self.rooms) else list(numbers)
+    def _in_rotation(self):
+        """Return the instances in rotation, or all if those are too few."""
+        numbers = range(len(self.readiness_checks))
+        ready = [number for number in numbers if self.failed[number] < FAILED_CHECKS]
+        return ready if 2 * len(ready) >= len(self.readiness_checks) else list(numbers)
 
     def _send(self, now_s):
-        """Send one request; tell whether it was taken."""
+        """Send one request; return whether it was accepted."""
         number = self.preferred
-        if self.rng.random() >= BUSY_PART:
-            number = self.rng.choice(self._in())
-        while not self._takes(number):
+        if self.rng.random() >= SKEWED_FRACTION:
+            number = self.rng.choice(self._in_rotation())
+        while not self._accepts(number):
             self.unread += 1
-            number = self.rng.choice(self._in())
+            number = self.rng.choice(self._in_rotation())
         if self.in_flight[number] >= MAX_REQUESTS:
             return False
         self.in_flight[number] += 1
-        self.ends.append((now_s + STREAM_S, number))
+        self.completions.append((now_s + STREAM_S, number))
         return True
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize(
-    ("instances", "rate_a_s"), [(8, 60), (28, 240), (85, 400), (85, 700)]
+    ("instances", "rate_per_s"), [(8, 60), (28, 240), (85, 400), (85, 700)]
 )
-def test_few_requests_are_refused_while_connections_are_skewed(
-    instances, rate_a_s, seed
-):
-    """From 3 s on; a third to two thirds were where no instance was ever full."""
-    sent, refused = Balanced(instances, rate_a_s, seed).play(30.0)
-    assert refused <= 0.05 * sent
+def test_few_requests_are_rejected_with_skewed_connections(instances, rate_per_s, seed):
+    """Guards against the third to two thirds that are rejected if instances stay ready."""
+    sent, rejected = SkewedBalancer(instances, rate_per_s, seed).run(30.0)
+    assert rejected <= 0.05 * sent
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The capacity of usable runners, against what the engine's formulas serve."""
+"""Estimated capacity of usable runners, compared with a replay of the engine model."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 TARGETS = Targets(0.5, 0.25)
-NO_ROOM = Room(0.0, 0.0, 0.0, 0.0)
-#: By fleet, the first event's target; by zone, the counts of its kinds.
+NO_CAPACITY = Room(0.0, 0.0, 0.0, 0.0)
+#: By fleet, the target of the first event, and by zone the number of each kind.
 FIRST_EVENT_S = {"A": 0.5, "B": 0.6}
 COUNTS = {
     "A": ((4, 10, 11), (3, 14, 16), (2, 24, 9)),
@@ -56,14 +56,14 @@
         "tokens_per_step": 2.0,
     },
 }
-#: The fewest and the most streams laid at once; a chain takes 80 to 100.
-LAID = (3, 20)
+#: The minimum and maximum number of streams placed at once; a chain runs 80 to 100.
+BATCH_LIMITS = (3, 20)
 TOLERANCE = 0.15
 
 
 @functools.cache
-def planned(fleet):
-    """Return a reference fleet as it is divided into chains."""
+def reference_fleet(fleet):
+    """Return a reference fleet, divided into chains."""
     spec = engine(
         per_sequence_ms=0.00764,
         context_per_k_ms=0.01024,
@@ -84,230 +84,249 @@
     orders = divide(hosts, spec)
     return LayerMap(
         [
-            runner(one.id, *orders[one.id], kind=one.kind, zone=one.availability_zone)
-            for one in hosts
-            if one.id in orders
+            runner(
+                host.id, *orders[host.id], kind=host.kind, zone=host.availability_zone
+            )
+            for host in hosts
+            if host.id in orders
         ],
         spec,
     )
 
 
 @functools.cache
-def groups(fleet):
-    """Return the runners of disjoint paths: those that are lost together."""
-    layer_map = planned(fleet)
-    found = []
+def disjoint_groups(fleet):
+    """Return the runners of disjoint paths, which fail together."""
+    layer_map = reference_fleet(fleet)
+    path_groups = []
     used = frozenset()
     while path := layer_map.find(zone="z1", excluded=used, allow_zone_hops=False):
-        found.append(path.server_ids)
+        path_groups.append(path.server_ids)
         used |= path.server_ids
-    return found
+    return path_groups
 
 
 def lost_runners(fleet, rng):
-    """Draw one to three groups of runners, or what one side of a partition lacks."""
+    """Draw one to three groups of runners, or those beyond a partition."""
     case = rng.randrange(4)
     if case:
-        return frozenset().union(*rng.sample(groups(fleet), case))
+        return frozenset().union(*rng.sample(disjoint_groups(fleet), case))
     zone = rng.choice(["z1", "z2", "z3"])
-    is_alone = rng.random() < 0.5
+    is_isolated = rng.random() < 0.5
     return frozenset(
-        one.id
-        for one in planned(fleet).holders.values()
-        if (one.availability_zone != zone) == is_alone
+        server.id
+        for server in reference_fleet(fleet).holders.values()
+        if (server.availability_zone != zone) == is_isolated
     )
 
 
 class Replay:
-    """Streams on the quickest paths, with their times by the engine's formulas."""
+    """Places streams on the fastest paths, with times from the engine model."""
 
-    def __init__(self, layer_map, left_out, targets, paces=None):
+    def __init__(self, layer_map, excluded, targets, slowdowns=None):
         self.map, self.engine, self.targets = layer_map, layer_map.engine, targets
-        self.paces = paces or {}
-        self.left_out = set(left_out)
-        self.fullness = collections.Counter()
-        self.begun = collections.Counter()
-        self.laid = collections.Counter()
+        self.slowdowns = slowdowns or {}
+        self.excluded = set(excluded)
+        self.utilization = collections.Counter()
+        self.started = collections.Counter()
+        self.placed = collections.Counter()
         self.stream_s = 4.0
-        self.lays = 0
+        self.placements = 0
 
-    def lay(self, zone):
-        """Lay streams on the best path that isn't full; tell whether there is one."""
+    def place(self, zone):
+        """Place streams on the best path that isn't full; return whether one exists."""
         spec = self.engine
-        pipe = sum(n * path.zone_hops for path, n in self.laid.items())
-        pipe *= spec.zone_transfer_ms / 1000 / self.stream_s
+        link_utilization = sum(n * path.zone_hops for path, n in self.placed.items())
+        link_utilization *= spec.zone_transfer_ms / 1000 / self.stream_s
         path = self.map.find(
             zone=zone,
-            excluded=self.left_out,
-            utilization=self.fullness,
-            slowdowns=self.paces,
-            zone_link_utilization=pipe,
-            allow_zone_hops=pipe < 0.9,
+            excluded=self.excluded,
+            utilization=self.utilization,
+            slowdowns=self.slowdowns,
+            zone_link_utilization=link_utilization,
+            allow_zone_hops=link_utilization < 0.9,
         )
         if path is None:
             return False
-        held_tokens = spec.usual_prompt_tokens + spec.usual_answer_tokens / 2
-        parts = {}  # by runner, the part of its KV cache that a stream takes
+        cached_tokens = spec.usual_prompt_tokens + spec.usual_answer_tokens / 2
+        fractions = {}  # by runner, the fraction of its KV cache per stream
         for server, layers in path.stages:
             kind, size = spec.kinds[server.kind], server.layers.size
-            most = spec.kv_capacity_tokens(kind, size) * size / held_tokens
-            parts[server.id] = layers.size / most
-        left = min((1 - self.fullness[one]) / part for one, part in parts.items())
-        streams = round(max(LAID[0], min(LAID[1], left / 2)))
-        self.laid[path] += streams
-        for server_id, part in parts.items():
-            self.fullness[server_id] += streams * part
-        self.begun[path.first.id] += streams
-        full = {one for one, part in self.fullness.items() if part > 1 - 0.02}
+            max_streams = spec.kv_capacity_tokens(kind, size) * size / cached_tokens
+            fractions[server.id] = layers.size / max_streams
+        free = min(
+            (1 - self.utilization[server_id]) / fraction
+            for server_id, fraction in fractions.items()
+        )
+        streams = round(max(BATCH_LIMITS[0], min(BATCH_LIMITS[1], free / 2)))
+        self.placed[path] += streams
+        for server_id, fraction in fractions.items():
+            self.utilization[server_id] += streams * fraction
+        self.started[path.first.id] += streams
+        full = {
+            server_id
+            for server_id, fraction in self.utilization.items()
+            if fraction > 1 - 0.02
+        }
         no_slots = {
-            one
-            for one, count in self.begun.items()
-            if count >= self.map.holders[one].slots
+            server_id
+            for server_id, count in self.started.items()
+            if count >= self.map.holders[server_id].slots
         }
-        self.left_out |= full | no_slots
+        self.excluded |= full | no_slots
         return True
 
     def served(self):
-        """Return streams within target, and how many of them start per second."""
+        """Return the streams within target, and their starts per second."""
         spec = self.engine
         chunks = math.ceil(spec.usual_prompt_tokens / spec.chunk_tokens)
-        token_ms = {path: path.token_ms for path in self.laid}
+        token_ms = {path: path.token_ms for path in self.placed}
         stream_ms = {p: spec.usual_answer_tokens * ms for p, ms in token_ms.items()}
-        writers, reading = collections.Counter(), collections.Counter()
+        batch_sizes, prefill = collections.Counter(), collections.Counter()
         steps_ms = {}
         for _ in range(8):
-            for path in self.laid:
+            for path in self.placed:
                 steps_ms[path] = [
-                    self.step_ms(stage, writers[stage.server.id])
-                    / (1 - min(0.95, reading[stage.server.id]))
+                    self.step_ms(stage, batch_sizes[stage.server.id])
+                    / (1 - min(0.95, prefill[stage.server.id]))
                     for stage in path.stages
                 ]
-            writers, reading = collections.Counter(), collections.Counter()
-            pipe = 0.0
-            for path, streams in self.laid.items():
+            batch_sizes, prefill = collections.Counter(), collections.Counter()
+            link_utilization = 0.0
+            for path, streams in self.placed.items():
                 token_ms[path] = sum(steps_ms[path]) + HOP_MS * len(path.stages)
                 for stage, ms in zip(path.stages, steps_ms[path], strict=True):
-                    writers[stage.server.id] += streams * ms / token_ms[path]
-                    reading[stage.server.id] += (
-                        streams * self.read_ms(stage) / stream_ms[path]
+                    batch_sizes[stage.server.id] += streams * ms / token_ms[path]
+                    prefill[stage.server.id] += (
+                        streams * self.prefill_ms(stage) / stream_ms[path]
                     )
-                pipe += (
+                link_utilization += (
                     streams * path.zone_hops * spec.zone_transfer_ms / stream_ms[path]
                 )
             first_ms = {}
-            for path in self.laid:
-                read_ms = sum(
-                    self.read_ms(stage) / (1 - min(0.95, reading[stage.server.id]))
+            for path in self.placed:
+                prefill_ms = sum(
+                    self.prefill_ms(stage) / (1 - min(0.95, prefill[stage.server.id]))
                     for stage in path.stages
                 )
-                wait = 1 + min(pipe, 0.95) / (1 - min(pipe, 0.95)) / 2
-                crossing_ms = path.zone_hops * spec.zone_transfer_ms * wait
-                read_ms += chunks * token_ms[path] + crossing_ms
-                first_ms[path] = read_ms + spec.tokens_per_step * token_ms[path]
-                stream_ms[path] = read_ms + spec.usual_answer_tokens * token_ms[path]
-        good = {
+                wait = (
+                    1
+                    + min(link_utilization, 0.95)
+                    / (1 - min(link_utilization, 0.95))
+                    / 2
+                )
+                transfer_ms = path.zone_hops * spec.zone_transfer_ms * wait
+                prefill_ms += chunks * token_ms[path] + transfer_ms
+                first_ms[path] = prefill_ms + spec.tokens_per_step * token_ms[path]
+                stream_ms[path] = prefill_ms + spec.usual_answer_tokens * token_ms[path]
+        in_target = {
             path: streams
-            for path, streams in self.laid.items()
+            for path, streams in self.placed.items()
             if first_ms[path] <= self.targets.first_event_s * 1000
             and spec.tokens_per_step * token_ms[path]
             <= (self.targets.gap_s or math.inf) * 1000
         }
-        starts = sum(1000 * n / stream_ms[path] for path, n in good.items())
+        starts = sum(1000 * n / stream_ms[path] for path, n in in_target.items())
         self.stream_s = max(stream_ms.values(), default=4000) / 1000
-        return sum(good.values()), starts
+        return sum(in_target.values()), starts
 
-    def step_ms(self, stage, writers):
-        """Return the time of a stage's step at some number of writers."""
+    def step_ms(self, stage, batch_size):
+        """Return the step time of a stage at a batch size."""
         kind = self.engine.kinds[stage.server.kind]
-        pace = self.paces.get(stage.server.id, 1.0)
+        slowdown = self.slowdowns.get(stage.server.id, 1.0)
         size = stage.layers.size
-        return pace * self.engine.step_time_ms(kind, size, batch_size=writers)
+        return slowdown * self.engine.step_time_ms(kind, size, batch_size=batch_size)
 
-    def read_ms(self, stage):
-        """Return the time for which a stage reads a usual prompt."""
+    def prefill_ms(self, stage):
+        """Return the time in which a stage prefills a typical prompt."""
         kind = self.engine.kinds[stage.server.kind]
-        pace = self.paces.get(stage.server.id, 1.0)
-        return pace * self.engine.usual_prefill_ms(kind, stage.layers.size)
+        slowdown = self.slowdowns.get(stage.server.id, 1.0)
+        return slowdown * self.engine.usual_prefill_ms(kind, stage.layers.size)
 
 
-def most_served(layer_map, left_out, targets, paces=None):
-    """Return the most streams within target at any load, and their starts."""
-    replay = Replay(layer_map, left_out, targets, paces)
+def max_served(layer_map, excluded, targets, slowdowns=None):
+    """Return the maximum of streams within target at any load, and their starts."""
+    replay = Replay(layer_map, excluded, targets, slowdowns)
     best = (0, 0.0)
     zones = itertools.cycle(["z1", "z2", "z3"])
-    while replay.lay(next(zones)):
-        replay.lays += 1
-        if replay.lays % 32 == 0:
+    while replay.place(next(zones)):
+        replay.placements += 1
+        if replay.placements % 32 == 0:
             best = max(best, replay.served())
     return max(best, replay.served())
 
 
 @functools.cache
 def reference(fleet, lost):
-    """Return what the replay of a fleet without some runners serves."""
-    return most_served(planned(fleet), lost, Targets(FIRST_EVENT_S[fleet], 0.25))
+    """Return the capacity of a fleet without some runners, by replay."""
+    return max_served(reference_fleet(fleet), lost, Targets(FIRST_EVENT_S[fleet], 0.25))
 
 
 class TestReferenceFleets:
     """Guards against a capacity that routing can't use, or that it exceeds.
 
-    Groups of runners that share paths are lost, or a zone is partitioned; either side
-    of the partition sees the runners that it reaches.
+    Groups of runners that share paths fail, or a zone is partitioned; both sides of the
+    partition have the runners that they can reach.
     """
 
     @pytest.mark.parametrize("fleet", ["A", "B"])
-    def test_as_the_replay_serves(self, fleet):
-        """Streams and starts are within 0.15 of what is served within target."""
+    def test_matches_replay(self, fleet):
+        """Streams and starts deviate by at most 0.15 from the replay."""
         targets = Targets(FIRST_EVENT_S[fleet], 0.25)
-        missed = {}
+        deviations = {}
         for seed in range(50):
             lost = lost_runners(fleet, random.Random(seed))
-            one = room(planned(fleet), left_out=lost, paces={}, targets=targets)
+            result = room(
+                reference_fleet(fleet), left_out=lost, paces={}, targets=targets
+            )
             served = reference(fleet, lost)
-            if (one.streams, one.starts_per_s) != pytest.approx(served, rel=TOLERANCE):
-                missed[seed] = (one, served)
-        assert not missed
+            if (result.streams, result.starts_per_s) != pytest.approx(
+                served, rel=TOLERANCE
+            ):
+                deviations[seed] = (result, served)
+        assert not deviations
 
     @pytest.mark.parametrize("fleet", ["A", "B"])
-    def test_cost_grows_with_the_runners(self, fleet):
-        """Guards against work that is more than linear, by calls and not by a clock."""
-        layer_map = planned(fleet)
+    def test_cost_is_linear_in_runners(self, fleet):
+        """Guards against superlinear work, measured by function calls."""
+        layer_map = reference_fleet(fleet)
         counts = [
-            calls_of(layer_map, left_out=left_out) for left_out in ((), half(layer_map))
+            count_calls(layer_map, excluded=excluded)
+            for excluded in ((), half(layer_map))
         ]
         assert counts[0] <= 1.2 * 2 * counts[1]
         assert counts[0] <= 60 * len(layer_map.holders)
 
 
 def half(layer_map):
-    """Return every second runner's id."""
+    """Return the id of every second runner."""
     return sorted(layer_map.holders)[::2]
 
 
-def calls_of(layer_map, *, left_out):
-    """Return how many Python calls the room of some runners takes."""
+def count_calls(layer_map, *, excluded):
+    """Return the number of Python calls for the estimate of some runners."""
     count = 0
 
-    def note(_frame, event, _argument):
+    def count_call(_frame, event, _argument):
         nonlocal count
         count += event == "call"
 
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
-        room(layer_map, left_out=left_out, paces={}, targets=TARGETS)
+        room(layer_map, left_out=excluded, paces={}, targets=TARGETS)
     finally:
         sys.setprofile(None)
     return count
 
 
-def found(servers, spec=None, *, left_out=(), paces=None, targets=TARGETS):
-    """Return the room of some runners."""
+def estimate(servers, spec=None, *, excluded=(), slowdowns=None, targets=TARGETS):
+    """Return the capacity of some runners."""
     layer_map = LayerMap(servers, spec or engine())
-    return room(layer_map, left_out=left_out, paces=paces or {}, targets=targets)
+    return room(layer_map, left_out=excluded, paces=slowdowns or {}, targets=targets)
 
 
 def chain(name, *, zone="z1", **changes):
-    """Return two runners that hold the model together, with unlike KV caches."""
+    """Return a chain of two runners with KV caches of different size."""
     return [
         runner(f"{name}1", 0, 38, kind="large", zone=zone, **changes),
         runner(f"{name}2", 38, 80, kind="large", zone=zone, **changes),
@@ -316,119 +335,121 @@
 
 #: Accelerators with memory for half of the model and some KV cache.
 WIDE = engine(kinds={"large": AcceleratorKind(90_000.0, 2.4, 3.2)})
-#: The same with steps that grow with each sequence in them.
-CROWDED = WIDE._replace(per_sequence_ms=1.0)
+#: The same with step times that grow with the batch size.
+BATCH_BOUND = WIDE._replace(per_sequence_ms=1.0)
 
 
-class TestRoom:
+class TestCapacity:
     def test_kv_cache(self):
-        """The runner with the least KV cache for a stream's tokens bounds a chain."""
-        held_tokens = WIDE.usual_prompt_tokens + WIDE.usual_answer_tokens / 2
-        least = WIDE.kv_capacity_tokens(WIDE.kinds["large"], 42) / held_tokens
-        assert found(chain("a"), WIDE).streams == pytest.approx(least)
+        """The runner with the smallest KV cache for a stream limits its chain."""
+        cached_tokens = WIDE.usual_prompt_tokens + WIDE.usual_answer_tokens / 2
+        min_streams = WIDE.kv_capacity_tokens(WIDE.kinds["large"], 42) / cached_tokens
+        assert estimate(chain("a"), WIDE).streams == pytest.approx(min_streams)
 
     def test_slots_bound_only_first_runners(self):
-        """Slots count where streams begin, not further on."""
+        """Slots limit only the first runner of a path."""
         first, last = chain("a")
-        whole = found([first, last], WIDE)
-        assert whole.streams > 3
-        few = found([first._replace(slots=3), last], WIDE)
-        assert few.streams == pytest.approx(3)
-        assert found([first, last._replace(slots=3)], WIDE) == whole
+        full = estimate([first, last], WIDE)
+        assert full.streams > 3
+        limited = estimate([first._replace(slots=3), last], WIDE)
+        assert limited.streams == pytest.approx(3)
+        assert estimate([first, last._replace(slots=3)], WIDE) == full
 
     def test_steady_state(self):
-        """Streams are starts times duration, tokens are starts times answer."""
-        one = found(chain("a"), WIDE)
-        assert one.streams == pytest.approx(one.starts_per_s * one.stream_s)
+        """Streams are starts times duration, tokens are starts times answer length."""
+        single = estimate(chain("a"), WIDE)
+        assert single.streams == pytest.approx(single.starts_per_s * single.stream_s)
         answer = WIDE.usual_answer_tokens
-        assert one.tokens_per_s == pytest.approx(one.starts_per_s * answer)
+        assert single.tokens_per_s == pytest.approx(single.starts_per_s * answer)
 
     def test_missing_layer(self):
-        """Without a holder for some layer there is none."""
-        assert found([]) == NO_ROOM
-        assert found(chain("a")[:1], WIDE) == NO_ROOM
-        assert found(chain("a"), WIDE, left_out={"a2"}) == NO_ROOM
-        assert found(chain("a"), WIDE, left_out={"a1", "a2"}) == NO_ROOM
-
-    def test_lost_runner_takes_its_chain_along(self):
-        """What remains of a broken chain holds no streams of its own."""
+        """Without a runner for some layer the capacity is zero."""
+        assert estimate([]) == NO_CAPACITY
+        assert estimate(chain("a")[:1], WIDE) == NO_CAPACITY
+        assert estimate(chain("a"), WIDE, excluded={"a2"}) == NO_CAPACITY
+        assert estimate(chain("a"), WIDE, excluded={"a1", "a2"}) == NO_CAPACITY
+
+    def test_lost_runner_disables_its_chain(self):
+        """The remaining runners of a broken chain run no streams of their own."""
         servers = [
             runner(f"{name}{first}", first, first + 40, kind="large")
             for name in "ab"
             for first in (0, 40)
         ]
-        both = found(servers, WIDE)
-        left = found(servers, WIDE, left_out={"b0"})
-        assert left.streams == pytest.approx(both.streams / 2)
+        both = estimate(servers, WIDE)
+        remaining = estimate(servers, WIDE, excluded={"b0"})
+        assert remaining.streams == pytest.approx(both.streams / 2)
 
-    def test_rest_of_a_chain_helps_others(self):
-        """Where another chain's bottleneck is held by the rest, both of them count."""
+    def test_remaining_runners_of_a_chain_help_others(self):
+        """Runners of a broken chain add capacity at the bottleneck of another chain."""
         servers = [*chain("a"), *chain("b")]
-        alone = found(chain("a"), WIDE)
-        left = found(servers, WIDE, left_out={"b1"})
-        assert alone.streams < left.streams < 2 * alone.streams
+        single = estimate(chain("a"), WIDE)
+        remaining = estimate(servers, WIDE, excluded={"b1"})
+        assert single.streams < remaining.streams < 2 * single.streams
 
-    def test_zones_add_up(self):
+    def test_zones_are_summed(self):
         """The capacity covers all zones."""
-        one = found(chain("a"), WIDE)
-        both = found([*chain("a"), *chain("b", zone="z2")], WIDE)
-        assert both.streams == pytest.approx(2 * one.streams)
-        assert both.starts_per_s == pytest.approx(2 * one.starts_per_s)
+        single = estimate(chain("a"), WIDE)
+        both = estimate([*chain("a"), *chain("b", zone="z2")], WIDE)
+        assert both.streams == pytest.approx(2 * single.streams)
+        assert both.starts_per_s == pytest.approx(2 * single.starts_per_s)
 
     def test_slow_runner_starts_fewer(self):
-        """A runner at twice its step time makes all streams of its chain longer."""
-        usual = found(chain("a"), WIDE)
-        slow = found(chain("a"), WIDE, paces={"a1": 2.0})
+        """A runner at twice its step time prolongs all streams of its chain."""
+        usual = estimate(chain("a"), WIDE)
+        slow = estimate(chain("a"), WIDE, slowdowns={"a1": 2.0})
         assert slow.streams == pytest.approx(usual.streams)
         assert slow.starts_per_s < 0.75 * usual.starts_per_s
 
-    def test_runner_too_slow_for_the_gaps(self):
-        """Streams that can't keep their gaps at any fill don't count."""
-        assert found(chain("a"), WIDE, paces={"a1": 300.0}) == NO_ROOM
+    def test_runner_too_slow_for_gap_target(self):
+        """Streams that miss the gap target at any utilization don't count."""
+        assert estimate(chain("a"), WIDE, slowdowns={"a1": 300.0}) == NO_CAPACITY
         no_gaps = Targets(10.0, 0.0)
-        slow = found(chain("a"), WIDE, paces={"a1": 300.0}, targets=no_gaps)
+        slow = estimate(chain("a"), WIDE, slowdowns={"a1": 300.0}, targets=no_gaps)
         assert slow.streams > 0
 
-    def test_gap_leaves_out_writers(self):
-        """Streams are only as many as steps with that many writers allow."""
+    def test_gap_target_limits_batch_size(self):
+        """The step time at their batch size limits the number of streams."""
         no_gaps = Targets(10.0, 0.0)
-        whole = found(chain("a"), CROWDED, targets=no_gaps)
-        half_gap_s = 0.5 * whole.stream_s / CROWDED.usual_answer_tokens
-        part = found(chain("a"), CROWDED, targets=Targets(10.0, half_gap_s))
-        assert 0 < part.streams < 0.6 * whole.streams
+        full = estimate(chain("a"), BATCH_BOUND, targets=no_gaps)
+        half_gap_s = 0.5 * full.stream_s / BATCH_BOUND.usual_answer_tokens
+        partial = estimate(chain("a"), BATCH_BOUND, targets=Targets(10.0, half_gap_s))
+        assert 0 < partial.streams < 0.6 * full.streams
 
-    def test_gap_holds_a_stride_of_tokens(self):
-        """With a stride of 5, a gap is five token times."""
+    def test_gap_covers_tokens_per_step(self):
+        """With 5 tokens per step, a gap is five token times."""
         gap_s = 0.25
-        strided = CROWDED._replace(tokens_per_step=5.0)
-        one = found(chain("a"), strided, targets=Targets(0.0, 5 * gap_s))
-        assert one == found(chain("a"), CROWDED, targets=Targets(0.0, gap_s))
-        less = found(chain("a"), strided, targets=Targets(0.0, gap_s / 5))
-        assert less.streams < one.streams
-
-    def test_first_event_leaves_out_readers(self):
-        """Reading that delays first events beyond their target bounds the starts."""
-        reading = WIDE._replace(prefill_tokens_per_s=10_000.0)
-        whole = found(chain("a"), reading, targets=Targets(0.0, 0.0))
-        part = found(chain("a"), reading, targets=Targets(0.4, 0.0))
-        assert 0 < part.starts_per_s < whole.starts_per_s
-        assert found(chain("a"), reading, targets=Targets(0.2, 0.0)) == NO_ROOM
-
-    def test_pipe_bounds_crossing_streams(self):
-        """Where zones complete each other, the pipe between them is the bound."""
+        multi_token = BATCH_BOUND._replace(tokens_per_step=5.0)
+        single = estimate(chain("a"), multi_token, targets=Targets(0.0, 5 * gap_s))
+        assert single == estimate(chain("a"), BATCH_BOUND, targets=Targets(0.0, gap_s))
+        lower = estimate(chain("a"), multi_token, targets=Targets(0.0, gap_s / 5))
+        assert lower.streams < single.streams
+
+    def test_first_event_target_limits_prefill(self):
+        """Prefill that delays first events beyond the target limits the starts."""
+        slow_prefill = WIDE._replace(prefill_tokens_per_s=10_000.0)
+        full = estimate(chain("a"), slow_prefill, targets=Targets(0.0, 0.0))
+        partial = estimate(chain("a"), slow_prefill, targets=Targets(0.4, 0.0))
+        assert 0 < partial.starts_per_s < full.starts_per_s
+        assert (
+            estimate(chain("a"), slow_prefill, targets=Targets(0.2, 0.0)) == NO_CAPACITY
+        )
+
+    def test_zone_link_limits_cross_zone_streams(self):
+        """If no zone has all layers, the link between zones is the limit."""
         servers = [chain("a")[0], chain("b", zone="z2")[1]]
-        free = found(servers, WIDE._replace(zone_link_mbps=0.0))
-        assert free.streams == pytest.approx(found(chain("a"), WIDE).streams)
+        unlimited = estimate(servers, WIDE._replace(zone_link_mbps=0.0))
+        assert unlimited.streams == pytest.approx(estimate(chain("a"), WIDE).streams)
         narrow = WIDE._replace(zone_link_mbps=5_000.0)
-        crossing = found(servers, narrow)
-        assert 0 < crossing.starts_per_s < 1000 / narrow.zone_transfer_ms
-        assert crossing.streams < free.streams
-        assert found(servers, WIDE._replace(zone_link_mbps=500.0)) == NO_ROOM
+        cross_zone = estimate(servers, narrow)
+        assert 0 < cross_zone.starts_per_s < 1000 / narrow.zone_transfer_ms
+        assert cross_zone.streams < unlimited.streams
+        assert estimate(servers, WIDE._replace(zone_link_mbps=500.0)) == NO_CAPACITY
 
-    def test_pipe_does_not_bound_whole_zones(self):
-        """Streams that stay in a zone don't use the pipe."""
+    def test_zone_link_does_not_limit_streams_within_zones(self):
+        """Streams within a zone don't use the link between zones."""
         servers = [*chain("a"), *chain("b", zone="z2")]
-        assert found(servers, WIDE._replace(zone_link_mbps=1.0)) == found(
+        assert estimate(servers, WIDE._replace(zone_link_mbps=1.0)) == estimate(
             servers, WIDE._replace(zone_link_mbps=0.0)
         )
 
@@ -445,25 +466,25 @@
         ),
         st.randoms(use_true_random=False),
     )
-    def test_any_ranges(self, ranges, rng):
-        """Never more than any layer's holders hold, whatever their order is."""
+    def test_capacity_is_bounded_by_each_layer(self, ranges, rng):
+        """No layer's KV cache is exceeded, independent of the order of runners."""
         spec = engine()
         servers = [
             runner(f"r{n}", first, min(80, first + size), kind=kind, zone=zone)
             for n, (first, size, kind, zone) in enumerate(ranges)
         ]
-        one = found(servers)
-        held_tokens = spec.usual_prompt_tokens + spec.usual_answer_tokens / 2
+        single = estimate(servers)
+        cached_tokens = spec.usual_prompt_tokens + spec.usual_answer_tokens / 2
         by_layer = [
             sum(
                 spec.kv_capacity_tokens(spec.kinds[server.kind], server.layers.size)
                 for server in servers
                 if server.layers.first <= layer < server.layers.end
             )
-            / held_tokens
+            / cached_tokens
             for layer in range(80)
         ]
-        assert 0 <= one.streams <= min(by_layer) + 1e-3
-        assert all(math.isfinite(figure) for figure in one)
+        assert 0 <= single.streams <= min(by_layer) + 1e-3
+        assert all(math.isfinite(figure) for figure in single)
         rng.shuffle(servers)
-        assert found(servers) == pytest.approx(one)
+        assert estimate(servers) == pytest.approx(single)
