--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -105,7 +105,7 @@
             assert decoded.offers_per_s == demand.offers_per_s
 
     def test_rates_outside_field_range(self):
-        """Guards against an overflow in the sender; rates that round to 0 are omitted."""
+        """Guards against an overflow in the sender; rates rounded to 0 are omitted."""
         assert unpacked(packed(Demand({KEY: 1e9}, {}))).offers_per_s == {KEY: 8191.875}
         assert packed(Demand({KEY: 0.06}, {(KEY, 1): 0.06})) == b""
         assert packed(NO_DEMAND) == b""
--- a/tests/test_demand_sums.py
+++ b/tests/test_demand_sums.py
@@ -14,8 +14,8 @@
 #: 350 instances take 4 s a seed: VIOLETHATCH_DEMAND_SEEDS=50 replays them all.
 SEEDS = {8: 50, 72: 50, 350: int(os.environ.get("VIOLETHATCH_DEMAND_SEEDS", "1"))}
 REPLAYS = [(size, seed) for size, seeds in SEEDS.items() for seed in range(seeds)]
-#: The maximum lag of the sums, in seconds: the tree has more levels with more instances,
-#: and each level adds one tick at most.
+#: The maximum lag of the sums, in seconds: more instances add levels to the tree, each
+#: with a delay of one tick at most.
 LAG_S = {8: 1.0, 72: 1.5, 350: 2.0}
 #: The time until all instances have a busy workspace, in seconds; workspaces are sent
 #: every 0.5 s.
--- a/tests/test_load_changes.py
+++ b/tests/test_load_changes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which totals are told first."""
+"""Selection of the totals to send first."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 def totals(**streams):
     """Return totals by server number; `s1=3` has three streams at server 1."""
-    return {int(one[1:]): ServerTotals(n, n * 100.0) for one, n in streams.items()}
+    return {int(name[1:]): ServerTotals(n, n * 100.0) for name, n in streams.items()}
 
 
 class TestChangeFeed:
-    def test_largest_change_goes_first(self):
-        """What matters most to the receiver doesn't wait."""
+    def test_largest_changes_are_first(self):
+        """Guards against delaying the largest changes."""
         feed = ChangeFeed()
         assert list(feed.pick(totals(s1=1, s2=9, s3=4), most=2)) == [2, 3]
 
-    def test_what_was_left_out_goes_next(self):
-        """Nothing waits for ever."""
+    def test_omitted_server_is_next(self):
+        """Guards against starvation of small changes."""
         feed = ChangeFeed()
         feed.pick(totals(s1=1, s2=9, s3=4), most=2)
         assert list(feed.pick(totals(s1=1, s2=9, s3=4), most=1)) == [1]
 
-    def test_lost_word_is_told_again(self):
-        """Without changes the oldest word is told anew."""
+    def test_oldest_totals_are_repeated(self):
+        """Without changes the oldest totals are sent again, in case they were lost."""
         feed = ChangeFeed()
         same = totals(s1=1, s2=2)
-        told = [next(iter(feed.pick(same, most=1))) for _ in range(4)]
-        assert told == [2, 1, 2, 1]
+        sent = [next(iter(feed.pick(same, most=1))) for _ in range(4)]
+        assert sent == [2, 1, 2, 1]
 
-    def test_end_is_told(self):
-        """A server that has no streams any more is told of, and then no more."""
+    def test_removed_server_is_sent_twice(self):
+        """A server without streams is sent, and then removed."""
         feed = ChangeFeed()
         feed.pick(totals(s1=1), most=5)
         assert feed.pick({}, most=5) == {1: ServerTotals(0, 0.0)}
@@ -43,13 +43,13 @@
         assert feed.pick({}, most=5) == {}
 
     @given(st.dictionaries(st.integers(0, 50), st.integers(1, 90)), st.integers(1, 9))
-    def test_receiver_comes_to_know_all(self, streams, most):
-        """In as many messages as it takes, whatever fits one."""
+    def test_receiver_converges(self, streams, limit):
+        """Guards against servers that are never sent, for any size of messages."""
         servers = {n: ServerTotals(k, k * 10.0) for n, k in streams.items()}
         feed = ChangeFeed()
-        known = {}
-        for _ in range(len(servers) // most + 1):
-            picked = feed.pick(servers, most=most)
-            assert len(picked) <= most
-            known.update(picked)
-        assert known == servers
+        received = {}
+        for _ in range(len(servers) // limit + 1):
+            selected = feed.pick(servers, most=limit)
+            assert len(selected) <= limit
+            received.update(selected)
+        assert received == servers
--- a/tests/test_load_link.py
+++ b/tests/test_load_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Loads between instances, over real sockets."""
+"""Exchange of loads between instances over real sockets."""
 
 from __future__ import annotations
 
@@ -40,16 +40,16 @@
 
 PATH = find_path([runner("a", 0, 40), runner("b", 40, 80)], engine(), zone="z1")
 KEY = DemandKey(7, 1)
-OFFERED = Demand({KEY: 12.0}, {(KEY, 3): 8.0, (KEY, 4): 4.0})
-#: As much as a datagram may hold.
-MUCH_OFFERED = Demand(
+DEMAND = Demand({KEY: 12.0}, {(KEY, 3): 8.0, (KEY, 4): 4.0})
+#: The maximum that fits in a datagram.
+MAX_DEMAND = Demand(
     {DemandKey(7, priority): 50.0 for priority in range(MOST_KEYS_SENT)},
     {(KEY, workspace): 20.0 for workspace in range(MOST_HEAVIEST_SENT)},
 )
 
 
-class LoadDatagramBefore(msgspec.Struct, array_like=True, tag="l"):
-    """A sum of loads as instances before 26.5.0 send and read it."""
+class OldLoadDatagram(msgspec.Struct, array_like=True, tag="l"):
+    """The datagram of instances before 26.5.0."""
 
     token: str
     sender: str
@@ -60,27 +60,27 @@
     servers: bytes
 
 
-async def stand_still_while_reading(for_s):
-    """Let the event loop stand still where due timers come before further reads."""
+async def stall_in_read_callback(duration_s):
+    """Stall the event loop where due timers run before further reads."""
     own, other = socket.socketpair()
     loop = asyncio.get_running_loop()
-    stood = asyncio.Event()
+    stalled = asyncio.Event()
 
     def read():
         loop.remove_reader(own)
-        time.sleep(for_s)
-        stood.set()
+        time.sleep(duration_s)
+        stalled.set()
 
     loop.add_reader(own, read)
     other.send(b"1")
-    await stood.wait()
+    await stalled.wait()
     own.close()
     other.close()
 
 
 class TestLoadLink:
-    async def test_streams_of_others_fill_servers(self):
-        """What one instance sends to a runner, the others know of soon."""
+    async def test_streams_of_others_raise_utilization(self):
+        """Streams that an instance sends to a runner are soon known to the others."""
         entries = [
             entry(f"i{n}")._replace(address=f"127.0.0.1:{port}", token=f"t{n}")
             for n, port in enumerate(free_ports(3))
@@ -88,7 +88,7 @@
         loads, tasks = [], []
         for own in entries:
             directory = InstanceDirectory(own)
-            directory.take({one.id: one for one in entries}, is_whole=True)
+            directory.take({e.id: e for e in entries}, is_whole=True)
             datagrams = PeerDatagrams(directory)
             await datagrams.start(own.address)
             loads.append(StreamLoads())
@@ -96,14 +96,14 @@
         for _ in range(48):
             loads[0].started(PATH, 500.0, crossing_ms=0.0, now_s=0.0)
         async with asyncio.timeout(10):
-            for one, spec in itertools.product(loads, (PATH.first,)):
-                while one.fullness(spec, engine(), now_s=0.0) < 0.5:
+            for load, server in itertools.product(loads, (PATH.first,)):
+                while load.fullness(server, engine(), now_s=0.0) < 0.5:
                     await asyncio.sleep(0.02)
         assert loads[0].others.servers == {}
         for task in tasks:
             task.cancel()
 
-    async def test_demand_of_others_is_known(self):
+    async def test_demand_of_others_is_received(self):
         """Guards against demand that is lost between counter and sums."""
         entries = [
             entry(f"i{n}")._replace(address=f"127.0.0.1:{port}", token=f"t{n}")
@@ -112,75 +112,75 @@
         loads, tasks = [], []
         for own in entries:
             directory = InstanceDirectory(own)
-            directory.take({one.id: one for one in entries}, is_whole=True)
+            directory.take({e.id: e for e in entries}, is_whole=True)
             datagrams = PeerDatagrams(directory)
             await datagrams.start(own.address)
             loads.append(StreamLoads())
             tasks.append(asyncio.create_task(LoadLink(datagrams, loads[-1]).run()))
-        loads[0].own_demand = lambda: OFFERED
+        loads[0].own_demand = lambda: DEMAND
         async with asyncio.timeout(10):
-            for one in loads[1:]:
-                while one.others.demand != OFFERED:
+            for load in loads[1:]:
+                while load.others.demand != DEMAND:
                     await asyncio.sleep(0.02)
         assert loads[0].others.demand == NO_DEMAND
         for task in tasks:
             task.cancel()
 
-    async def test_each_tick_is_announced_with_its_sums(self):
-        """Guards against admission plans that are made anew only by requests."""
-        loads, seen = StreamLoads(), []
+    async def test_callback_runs_after_each_refresh(self):
+        """Guards against admission plans that are only updated by requests."""
+        loads, recorded = StreamLoads(), []
         link = LoadLink(PeerDatagrams(InstanceDirectory(entry("i0"))), loads)
-        link.on_tick = lambda: seen.append(loads.others)
+        link.on_tick = lambda: recorded.append(loads.others)
         link._tick(now_s=1.0)
         link._tick(now_s=1.25)
-        assert len(seen) == 2
+        assert len(recorded) == 2
 
-    def test_own_standstill_is_taken_for_the_others_silence(self):
-        """Nobody is passed over, and the others' load is not forgotten."""
+    def test_own_stall_does_not_expire_reports(self):
+        """Guards against suspicion of neighbours and expired reports after a stall."""
         loop = EventLoop()
-        before, after, seen = loop.run_until_complete(self._standing_still())
+        before, after, recorded = loop.run_until_complete(self._run_with_stall())
         loop.close()
         assert after == before
-        assert set(seen) == {2}
+        assert set(recorded) == {2}
 
-    async def _standing_still(self):
-        """Return an instance's neighbours before and after, and its sums' sizes."""
+    async def _run_with_stall(self):
+        """Return the neighbours before and after a stall, and the sizes of the sums."""
         entries = [
             entry(f"i{n}")._replace(address=f"127.0.0.1:{port}", token=f"t{n}")
             for n, port in enumerate(free_ports(3))
         ]
-        ended = threading.Event()
+        finished = threading.Event()
 
-        async def begin(own):
+        async def start_link(own):
             directory = InstanceDirectory(own)
-            directory.take({one.id: one for one in entries}, is_whole=True)
+            directory.take({e.id: e for e in entries}, is_whole=True)
             datagrams = PeerDatagrams(directory)
             await datagrams.start(own.address)
             link = LoadLink(datagrams, StreamLoads())
             return link, asyncio.create_task(link.run())
 
         async def others():
-            begun = [await begin(one) for one in entries[1:]]
-            while not ended.is_set():
+            links = [await start_link(e) for e in entries[1:]]
+            while not finished.is_set():
                 await asyncio.sleep(0.01)
-            for _, task in begun:
+            for _, task in links:
                 task.cancel()
 
-        telling = asyncio.create_task(asyncio.to_thread(asyncio.run, others()))
-        link, task = await begin(entries[0])
+        others_task = asyncio.create_task(asyncio.to_thread(asyncio.run, others()))
+        link, task = await start_link(entries[0])
         await asyncio.sleep(6 * _load_link.TICK_S)
         before = dict(link._neighbours)
-        seen = []
-        link.on_tick = lambda: seen.append(link._sums.others.instances)
-        await stand_still_while_reading(REPORT_TTL_S + 0.5)
+        recorded = []
+        link.on_tick = lambda: recorded.append(link._sums.others.instances)
+        await stall_in_read_callback(REPORT_TTL_S + 0.5)
         await asyncio.sleep(2 * _load_link.TICK_S)
         task.cancel()
-        ended.set()
-        await telling
-        return before, link._neighbours, seen
+        finished.set()
+        await others_task
+        return before, link._neighbours, recorded
 
-    def test_noise_is_no_load(self):
-        """A datagram whose servers are not whole is refused."""
+    def test_invalid_datagrams_are_rejected(self):
+        """A datagram with incomplete servers or an unknown direction is rejected."""
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
         loads = StreamLoads()
         LoadLink(datagrams, loads)
@@ -189,19 +189,19 @@
             datagrams.datagram_received(msgspec.msgpack.encode(message), None)
         assert loads.others.instances == 0
 
-    def test_everyone_has_a_turn(self):
-        """Where there are too many neighbours for one tick, none is left out."""
+    def test_neighbours_take_turns(self):
+        """All neighbours are served in turn if there are too many for one tick."""
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")))
         link = LoadLink(datagrams, StreamLoads())
-        told = [link._in_turn(["a", "b", "c", "d", "e", "f"]) for _ in range(3)]
-        assert max(len(one) for one in told) <= 4
-        assert sorted(itertools.chain(*told)) == sorted("abcdef" * 2)
+        recipients = [link._in_turn(["a", "b", "c", "d", "e", "f"]) for _ in range(3)]
+        assert max(len(batch) for batch in recipients) <= 4
+        assert sorted(itertools.chain(*recipients)) == sorted("abcdef" * 2)
 
     @pytest.mark.parametrize("neighbours", [1, 2, 4])
-    def test_bytes_of_a_second_are_bounded(self, neighbours):
-        """However many are told, and however much there is to tell."""
-        most = _load_link.most_servers(neighbours)
-        servers = dict.fromkeys(range(most), ServerTotals(90, 1e6))
+    def test_bytes_per_second_are_bounded(self, neighbours):
+        """Guards against more bytes with more neighbours or more servers."""
+        limit = _load_link.most_servers(neighbours)
+        servers = dict.fromkeys(range(limit), ServerTotals(90, 1e6))
         message = LoadDatagram(
             token="0" * 16,
             sender="edge-some-availability-zone-11",
@@ -216,9 +216,9 @@
         assert datagram_bytes * neighbours * ticks <= 4000
 
     @pytest.mark.parametrize("neighbours", range(1, _load_link.MOST_TOLD_A_TICK + 1))
-    @pytest.mark.parametrize("demand", [OFFERED, MUCH_OFFERED])
+    @pytest.mark.parametrize("demand", [DEMAND, MAX_DEMAND])
     def test_bytes_with_demand_are_bounded(self, neighbours, demand):
-        """Guards against demand that takes more than control has beside loads."""
+        """Guards against demand that exceeds the control bandwidth left by loads."""
         feed = DemandFeed()
         for _ in range(4):
             demands = feed.pack(
@@ -226,8 +226,8 @@
                 most_bytes=_load_link.max_demand_bytes(neighbours),
             )
             assert all(unpacked(data).offers_per_s for data in demands.values())
-            most = _load_link.most_servers(neighbours, demands.values())
-            servers = dict.fromkeys(range(most), ServerTotals(90, 1e6))
+            limit = _load_link.most_servers(neighbours, demands.values())
+            servers = dict.fromkeys(range(limit), ServerTotals(90, 1e6))
             tick_bytes = sum(
                 28  # of IP and UDP
                 + len(
@@ -248,45 +248,45 @@
             )
             assert tick_bytes <= 3800 * _load_link.TICK_S
 
-    def test_without_demand_nothing_changes_on_the_wire(self):
-        """Guards against bytes that are sent where no service is governed."""
+    def test_datagram_without_demand_is_unchanged(self):
+        """Guards against additional bytes without admission control."""
         fields = ("token", "sender", "u", 3, 12.5, 400, b"12345678")
-        before = msgspec.msgpack.encode(LoadDatagramBefore(*fields))
-        assert encoded(LoadDatagram(*fields)) == before
+        old = msgspec.msgpack.encode(OldLoadDatagram(*fields))
+        assert encoded(LoadDatagram(*fields)) == old
         for neighbours in range(1, 7):
-            none = [b""] * neighbours
-            most = _load_link.most_servers(neighbours, none)
-            assert most == _load_link.most_servers(neighbours)
+            empty = [b""] * neighbours
+            limit = _load_link.most_servers(neighbours, empty)
+            assert limit == _load_link.most_servers(neighbours)
 
-    def test_versions_understand_each_other(self):
+    def test_versions_are_compatible(self):
         """Guards against loads that are lost while a fleet is upgraded."""
         fields = ("token", "sender", "u", 3, 12.5, 400, b"12345678")
-        before = msgspec.msgpack.encode(LoadDatagramBefore(*fields))
-        read = msgspec.msgpack.decode(before, type=LoadDatagram)
-        assert read == LoadDatagram(*fields)
-        now = encoded(LoadDatagram(*fields, demand=packed(OFFERED)))
-        read_before = msgspec.msgpack.decode(now, type=LoadDatagramBefore)
-        assert read_before == LoadDatagramBefore(*fields)
-        assert unpacked(msgspec.msgpack.decode(now, type=LoadDatagram).demand) == (
-            OFFERED
+        old = msgspec.msgpack.encode(OldLoadDatagram(*fields))
+        decoded = msgspec.msgpack.decode(old, type=LoadDatagram)
+        assert decoded == LoadDatagram(*fields)
+        new = encoded(LoadDatagram(*fields, demand=packed(DEMAND)))
+        old_decoded = msgspec.msgpack.decode(new, type=OldLoadDatagram)
+        assert old_decoded == OldLoadDatagram(*fields)
+        assert unpacked(msgspec.msgpack.decode(new, type=LoadDatagram).demand) == (
+            DEMAND
         )
 
-    def test_incomplete_demand_is_no_load(self):
-        """Guards against sums taken from a datagram that can't be understood."""
+    def test_incomplete_demand_is_rejected(self):
+        """Guards against sums from a malformed datagram."""
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
         link = LoadLink(datagrams, StreamLoads())
-        message = LoadDatagram("t", "i1", "u", 1, 0.0, 0, b"", packed(OFFERED)[:-1])
+        message = LoadDatagram("t", "i1", "u", 1, 0.0, 0, b"", packed(DEMAND)[:-1])
         with pytest.raises(ValueError, match="complete"):
             link._receive(message)
         datagrams.datagram_received(encoded(message), None)
 
     @given(st.dictionaries(st.integers(0, 2**32 - 1), st.integers(0, 10**6)))
-    def test_packed_totals_come_back(self, streams):
-        """Up to the bounds of the packing and its unit."""
+    def test_round_trip_of_totals(self, streams):
+        """Totals are exact up to the limits and the unit of the encoding."""
         servers = {n: ServerTotals(k, k * 512.0) for n, k in streams.items()}
-        back = _load_link._decode_servers(_load_link._encode_servers(servers))
-        assert back.keys() == servers.keys()
-        for number, totals in back.items():
+        decoded = _load_link._decode_servers(_load_link._encode_servers(servers))
+        assert decoded.keys() == servers.keys()
+        for number, totals in decoded.items():
             assert totals.streams == min(65535, servers[number].streams)
             assert totals.token_layers == min(
                 65535 * 256.0, servers[number].token_layers
--- a/tests/test_request_room.py
+++ b/tests/test_request_room.py
@@ -22,7 +22,7 @@
 
 class TestRequestRoom:
     def test_instance_with_skewed_load_is_full(self):
-        """It is full before it has to reject requests, until it is below half of its limit."""
+        """It is full before it rejects requests, until below half of its limit."""
         readiness = RequestRoom()
         assert check(readiness, 299, 10.0)
         assert not check(readiness, 300, 10.0)
@@ -140,6 +140,6 @@
     ("instances", "rate_per_s"), [(8, 60), (28, 240), (85, 400), (85, 700)]
 )
 def test_few_requests_are_rejected_with_skewed_connections(instances, rate_per_s, seed):
-    """Guards against the third to two thirds that are rejected if instances stay ready."""
+    """Guards against a third to two thirds rejected if instances are always ready."""
     sent, rejected = SkewedBalancer(instances, rate_per_s, seed).run(30.0)
     assert rejected <= 0.05 * sent
--- a/tests/test_turning_away.py
+++ b/tests/test_turning_away.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""When callers come back who were turned away together."""
+"""Retry delays of callers that are rejected at the same time."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from violethatch.turning_away import MAX_DELAY_S, MIN_DELAY_S, come_back_s
 
 
-class TestComeBack:
-    def test_not_before_the_block_ends(self):
-        """A caller has one retry: it is not spent on runners that still rest."""
+class TestRetryDelay:
+    def test_delay_covers_expected_duration(self):
+        """Guards against a caller's only retry during the cooldown of runners."""
         rng = random.Random(1)
         assert all(come_back_s(2.0, rng=rng) >= 2.0 for _ in range(100))
 
-    def test_room_is_waited_for_briefly(self):
-        """Where nothing is known to block, some requests end soon."""
+    def test_delay_is_short_without_known_cause(self):
+        """If runners are only full, some requests end soon."""
         rng = random.Random(1)
         assert MIN_DELAY_S <= come_back_s(0.0, rng=rng) <= 1.5 * MIN_DELAY_S
 
-    def test_long_rests_are_a_guess(self):
-        """Nobody is sent away for longer than the list takes to tell."""
+    def test_long_estimates_are_capped(self):
+        """Guards against delays beyond the time to update the list of servers."""
         assert come_back_s(60.0, rng=random.Random(1)) <= 1.5 * MAX_DELAY_S
 
-    def test_callers_of_one_moment_come_back_spread(self):
-        """195 instances refuse two callers each in the moment a group goes dark."""
+    def test_simultaneous_callers_are_spread(self):
+        """195 instances reject two callers each as a group of runners fails."""
         rngs = [random.Random(seed) for seed in range(195)]
-        returns_s = [come_back_s(3.0, rng=rng) for rng in rngs for _ in range(2)]
-        tenths = collections.Counter(int(10 * one) for one in returns_s)
-        assert max(tenths.values()) <= 0.15 * len(returns_s)
+        delays_s = [come_back_s(3.0, rng=rng) for rng in rngs for _ in range(2)]
+        counts = collections.Counter(int(10 * delay_s) for delay_s in delays_s)
+        assert max(counts.values()) <= 0.15 * len(delays_s)
