--- a/src/violethatch/_return_link.py
+++ b/src/violethatch/_return_link.py
@@ -91,7 +91,7 @@
         datagrams.on(ClaimDatagram, self._take_question)
         datagrams.on(ClaimedDatagram, self._take_answer)
 
-    def slot(
+    def schedule_retry(
         self,
         service: str,
         work: str,
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -72,7 +72,9 @@
 
     def refuse(self, at, of=WORK):
         """Let an instance refuse a work; return the time told, from now."""
-        slot = self.links[at].slot("chat", of, 0, starts_per_s=40.0, most_s=3.0)
+        slot = self.links[at].schedule_retry(
+            "chat", of, 0, starts_per_s=40.0, most_s=3.0
+        )
         assert slot.is_reserved
         return slot.at_s - clocks.now_s()
 
@@ -164,7 +166,7 @@
         async def part():
             zones = Zones(9)
             link = zones.links["i0"]
-            slot = link.slot("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
+            slot = link.schedule_retry("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
             assert not slot.is_reserved
             assert zones.network.sent == 0
 
@@ -488,7 +490,9 @@
             links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
         keepers = [one.id for one in links["i0"]._keepers(WORK)]
         first, second = (one for one in links if one not in keepers)
-        slot = links[first].slot("chat", WORK, 0, starts_per_s=40.0, most_s=3.0)
+        slot = links[first].schedule_retry(
+            "chat", WORK, 0, starts_per_s=40.0, most_s=3.0
+        )
         async with asyncio.timeout(5):
             while not all(links[one].kept() for one in keepers):
                 await asyncio.sleep(0.005)
