--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -10,7 +10,7 @@
 
 from . import clocks, events
 from ._peer_datagrams import LoadDatagram, PeerDatagrams
-from .demand import DemandFeed, unpacked
+from .demand import DemandFeed, decode_demand
 from .load_changes import ChangeFeed
 from .load_sums import Direction, LoadSums, LoadTotals, ServerTotals
 from .running_time import LATE_S
@@ -31,7 +31,7 @@
 ENVELOPE_BYTES = 110
 #: The maximum number of neighbours to report to in one tick: with more, datagrams would
 #: mostly consist of their envelopes.  The others follow in the next ticks.
-MOST_TOLD_A_TICK = 4
+MAX_RECIPIENTS_PER_TICK = 4
 #: A server in a datagram: its number, streams, and units of token layers.
 _SERVER = struct.Struct("<IHH")
 #: The unit; a stream of a thousand tokens has some thousands even on one layer.
@@ -119,10 +119,12 @@
             },
             most_bytes=max_demand_bytes(len(recipients)),
         )
-        limit = most_servers(len(recipients), demands.values())
+        limit = max_servers(len(recipients), demands.values())
         for neighbour, totals in totals_by_neighbour.items():
             direction = neighbours[neighbour]
-            changes = self._feed(neighbour, direction).pick(totals.servers, most=limit)
+            changes = self._feed(neighbour, direction).select(
+                totals.servers, limit=limit
+            )
             message = LoadDatagram(
                 token=peers[neighbour].token,
                 sender=self._directory.own.id,
@@ -137,7 +139,7 @@
 
     def _in_turn(self, neighbours: list[str]) -> list[str]:
         """Return the neighbours to report to in this tick, in round-robin order."""
-        count = min(len(neighbours), MOST_TOLD_A_TICK)
+        count = min(len(neighbours), MAX_RECIPIENTS_PER_TICK)
         first = self._next_index % len(neighbours)
         self._next_index += count
         return (neighbours + neighbours)[first : first + count]
@@ -160,14 +162,14 @@
             pipe_ms_per_s=message.pipe_ms_per_s,
             servers=_decode_servers(message.servers),
             age_s=message.age_ms / _MS_PER_S,
-            demand=unpacked(message.demand),
+            demand=decode_demand(message.demand),
         )
         now_s = clocks.now_s()
         direction = Direction(message.direction)
-        self._sums.take(message.sender, direction, change, now_s=now_s)
+        self._sums.update(message.sender, direction, change, now_s=now_s)
 
 
-def most_servers(neighbours: int, demands: Iterable[bytes] = ()) -> int:
+def max_servers(neighbours: int, demands: Iterable[bytes] = ()) -> int:
     """Return the number of servers that fit in a datagram at the maximum rate.
 
     Args:
--- a/src/violethatch/room.py
+++ b/src/violethatch/capacity.py
@@ -159,11 +159,11 @@
     link_ms: float
 
 
-def room(
+def estimate_capacity(
     layer_map: LayerMap,
     *,
-    left_out: Collection[str],
-    paces: Mapping[str, float],
+    excluded: Collection[str],
+    slowdowns: Mapping[str, float],
     targets: Targets,
 ) -> Room:
     """Return the streams that the usable runners can run and start within target.
@@ -178,9 +178,9 @@
     """
     engine = layer_map.engine
     usable = [
-        server for server in layer_map.holders.values() if server.id not in left_out
+        server for server in layer_map.holders.values() if server.id not in excluded
     ]
-    runners = {runner.id: runner for runner in _runners(usable, engine, paces)}
+    runners = {runner.id: runner for runner in _runners(usable, engine, slowdowns)}
     by_zone: defaultdict[str, list[_Runner]] = defaultdict(list)
     for runner in runners.values():
         by_zone[runner.zone].append(runner)
--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -22,12 +22,12 @@
 #: The length of the sliding window in which offers are counted, in seconds.
 WINDOW_S = 1.0
 #: The maximum number of keys in a datagram: three services of four priorities each.
-MOST_KEYS_SENT = 12
+MAX_SENT_KEYS = 12
 #: The maximum number of workspaces in a datagram, over all keys.
-MOST_HEAVIEST_SENT = 8
+MAX_SENT_WORKSPACES = 8
 #: The maximum number of workspaces in a sum: a workspace that is ninth at each of three
 #: children and at the instance itself is still counted in their sum.
-MOST_HEAVIEST_KEPT = 32
+MAX_SUMMED_WORKSPACES = 32
 #: The maximum number of keys in a sum: the datagrams of five neighbours, and some of
 #: the instance's own.
 MOST_KEYS_KEPT = 64
@@ -58,8 +58,8 @@
 #: The size of the number of keys.
 _COUNT_BYTES = 1
 #: The maximum size of an encoded demand, in bytes.
-MOST_BYTES = (
-    _COUNT_BYTES + MOST_KEYS_SENT * _KEY.size + MOST_HEAVIEST_SENT * _WORKSPACE.size
+MAX_ENCODED_BYTES = (
+    _COUNT_BYTES + MAX_SENT_KEYS * _KEY.size + MAX_SENT_WORKSPACES * _WORKSPACE.size
 )
 
 _EntryT = TypeVar("_EntryT", bound=Hashable)
@@ -119,7 +119,7 @@
     return _limit_entries(offers_per_s, heaviest_per_s)
 
 
-def packed(demand: Demand, *, most_bytes: int = MOST_BYTES) -> bytes:
+def encode_demand(demand: Demand, *, max_bytes: int = MAX_ENCODED_BYTES) -> bytes:
     """Encode a demand; one without offers has no bytes.
 
     Args:
@@ -130,11 +130,11 @@
 
     .. versionadded:: 26.5.0
     """
-    free_bytes = most_bytes - _COUNT_BYTES
-    max_keys = min(MOST_KEYS_SENT, free_bytes // _KEY.size)
+    free_bytes = max_bytes - _COUNT_BYTES
+    max_keys = min(MAX_SENT_KEYS, free_bytes // _KEY.size)
     keys = _encodable(demand.offers_per_s, limit=max_keys)
     free_bytes -= len(keys) * _KEY.size
-    max_workspaces = min(MOST_HEAVIEST_SENT, free_bytes // _WORKSPACE.size)
+    max_workspaces = min(MAX_SENT_WORKSPACES, free_bytes // _WORKSPACE.size)
     workspaces = _encodable(demand.heaviest_per_s, limit=max_workspaces)
     if not keys and not workspaces:
         return b""
@@ -147,7 +147,7 @@
     return b"".join(parts)
 
 
-def unpacked(data: bytes) -> Demand:
+def decode_demand(data: bytes) -> Demand:
     """Decode a demand; no bytes are a demand without offers.
 
     Raises:
@@ -163,8 +163,8 @@
         msg = f"{len(data)} bytes with {data[0]} keys are an incomplete demand"
         raise ValueError(msg)
     if (
-        data[0] > MOST_KEYS_SENT
-        or workspaces_bytes > MOST_HEAVIEST_SENT * _WORKSPACE.size
+        data[0] > MAX_SENT_KEYS
+        or workspaces_bytes > MAX_SENT_WORKSPACES * _WORKSPACE.size
     ):
         msg = f"{len(data)} bytes with {data[0]} keys are too large for a demand"
         raise ValueError(msg)
@@ -214,8 +214,8 @@
         self._round += 1
         bytes_per_neighbour = most_bytes // len(demands)
         encoded = {
-            neighbour: packed(
-                Demand(demand.offers_per_s, {}), most_bytes=bytes_per_neighbour
+            neighbour: encode_demand(
+                Demand(demand.offers_per_s, {}), max_bytes=bytes_per_neighbour
             )
             for neighbour, demand in demands.items()
         }
@@ -225,8 +225,8 @@
         for neighbour in candidates[:_WORKSPACE_RECIPIENTS_PER_TICK]:
             self._last_rounds[neighbour] = self._round
             keys_bytes = len(encoded[neighbour])
-            encoded[neighbour] = packed(
-                demands[neighbour], most_bytes=keys_bytes + free_bytes
+            encoded[neighbour] = encode_demand(
+                demands[neighbour], max_bytes=keys_bytes + free_bytes
             )
             free_bytes -= len(encoded[neighbour]) - keys_bytes
         return encoded
@@ -266,7 +266,7 @@
         self._slices: collections.deque[_Slice] = collections.deque()
         self._newest = _Slice(-1)
 
-    def offered(self, key: DemandKey, workspace: int, *, now_s: float) -> None:
+    def record_offer(self, key: DemandKey, workspace: int, *, now_s: float) -> None:
         """Count an offer.
 
         Args:
@@ -342,7 +342,7 @@
     """Return a demand with the maximum number of entries of a sum."""
     return Demand(
         _largest(offers_per_s, limit=MOST_KEYS_KEPT),
-        _largest(heaviest_per_s, limit=MOST_HEAVIEST_KEPT),
+        _largest(heaviest_per_s, limit=MAX_SUMMED_WORKSPACES),
     )
 
 
--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -35,8 +35,8 @@
         self._sent: dict[int, _Sent] = {}
         self._round = 0
 
-    def pick(
-        self, servers: Mapping[int, ServerTotals], *, most: int
+    def select(
+        self, servers: Mapping[int, ServerTotals], *, limit: int
     ) -> dict[int, ServerTotals]:
         """Select the totals to send next, and record them as sent.
 
@@ -55,7 +55,7 @@
             ),
         )
         selected = {
-            number: servers.get(number, _NO_STREAMS) for number in ordered[:most]
+            number: servers.get(number, _NO_STREAMS) for number in ordered[:limit]
         }
         for number, totals in selected.items():
             self._record(number, totals)
--- a/src/violethatch/load_sums.py
+++ b/src/violethatch/load_sums.py
@@ -24,7 +24,7 @@
 from typing import NamedTuple
 
 from .demand import (
-    MOST_HEAVIEST_SENT,
+    MAX_SENT_WORKSPACES,
     NO_DEMAND,
     Demand,
     DemandKey,
@@ -105,7 +105,7 @@
 
 
 #: The total of no instances.
-NOTHING = LoadTotals(0, 0.0, {})
+EMPTY_LOAD = LoadTotals(0, 0.0, {})
 _NO_STREAMS = ServerTotals(0, 0.0)
 
 
@@ -199,7 +199,7 @@
             for entry, listed_s in self.listed_s.items()
             if now_s - listed_s <= UNLISTED_TTL_S
         }
-        if len(listed_per_s) < MOST_HEAVIEST_SENT:
+        if len(listed_per_s) < MAX_SENT_WORKSPACES:
             return listed_per_s
         min_per_s = min(listed_per_s.values())
         unlisted_per_s = {
@@ -241,7 +241,7 @@
         #: By instance, the time of the first report without one in return.
         self._unanswered_since_s: dict[str, float] = {}
         self._suspicions: dict[str, _Suspicion] = {}
-        self._others: LoadTotals = NOTHING
+        self._others: LoadTotals = EMPTY_LOAD
         #: The directory's revision at which the ranks were computed, and by zone its
         #: instances' ids, the root first.
         self._ranks_revision = -1
@@ -253,7 +253,7 @@
         """The load of all other instances, as of the last `refresh`."""
         return self._others
 
-    def take(
+    def update(
         self, sender: str, direction: Direction, change: LoadTotals, *, now_s: float
     ) -> bool:
         """Apply an instance's report; return whether the instance is a neighbour.
--- a/src/violethatch/request_room.py
+++ b/src/violethatch/request_capacity.py
@@ -22,7 +22,7 @@
 _SKEW_RATIO = 2.0
 
 
-class RequestRoom:
+class RequestCapacity:
     """Readiness of one instance, with hysteresis between checks.
 
     .. versionadded:: 26.7.0
--- a/src/violethatch/turning_away.py
+++ b/src/violethatch/retry_delay.py
@@ -27,7 +27,9 @@
 _JITTER_FRACTION = 0.5
 
 
-def come_back_s(blocked_s: float, *, asked_s: float = 0.0, rng: random.Random) -> float:
+def retry_delay_s(
+    blocked_s: float, *, requested_backoff_s: float = 0.0, rng: random.Random
+) -> float:
     """Return the retry delay of a rejected caller, in seconds.
 
     Args:
@@ -39,5 +41,7 @@
     .. versionadded:: 26.2.0
     """
     estimated_s = min(MAX_DELAY_S, max(MIN_DELAY_S, blocked_s))
-    jitter_s = _JITTER_FRACTION * min(MAX_DELAY_S, max(estimated_s, asked_s))
-    return round(max(estimated_s, asked_s) + jitter_s * rng.random(), 2)
+    jitter_s = _JITTER_FRACTION * min(
+        MAX_DELAY_S, max(estimated_s, requested_backoff_s)
+    )
+    return round(max(estimated_s, requested_backoff_s) + jitter_s * rng.random(), 2)
--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -10,7 +10,13 @@
 
 from test_instances import entry
 from violethatch import _load_link
-from violethatch.demand import Demand, DemandCounter, DemandFeed, DemandKey, unpacked
+from violethatch.demand import (
+    Demand,
+    DemandCounter,
+    DemandFeed,
+    DemandKey,
+    decode_demand,
+)
 from violethatch.instances import InstanceDirectory
 from violethatch.load_sums import LoadSums, LoadTotals
 
@@ -140,7 +146,7 @@
         while at_s < self.now_s:
             priority = self.rng.choice(PRIORITIES)
             workspace = self.rng.choices(WORKSPACES, offers.weights)[0]
-            counter.offered(DemandKey(SERVICE, priority), workspace, now_s=at_s)
+            counter.record_offer(DemandKey(SERVICE, priority), workspace, now_s=at_s)
             self.offered_s.append(at_s)
             if offers.is_random:
                 at_s += self.rng.expovariate(offers.per_s)
@@ -153,7 +159,7 @@
         sums = self.sums[instance_id]
         sums.refresh(now_s=self.now_s)
         neighbours = sums.neighbours(now_s=self.now_s)
-        recipient_count = min(len(neighbours), _load_link.MOST_TOLD_A_TICK)
+        recipient_count = min(len(neighbours), _load_link.MAX_RECIPIENTS_PER_TICK)
         if not recipient_count:
             return []
         demand = self.counters[instance_id].demand(now_s=self.now_s)
@@ -173,7 +179,7 @@
                 instance_id,
                 to,
                 neighbours[to],
-                totals._replace(demand=unpacked(demands[to])),
+                totals._replace(demand=decode_demand(demands[to])),
             )
             for to, totals in totals_by_neighbour.items()
         ]
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from test_instances import entry
-from violethatch.demand import MOST_HEAVIEST_SENT, NO_DEMAND, Demand, DemandKey
+from violethatch.demand import MAX_SENT_WORKSPACES, NO_DEMAND, Demand, DemandKey
 from violethatch.instances import InstanceDirectory
 from violethatch.load_sums import (
+    EMPTY_LOAD,
     FAN_OUT,
     INITIAL_SUSPECTED_S,
-    NOTHING,
     REPORT_TTL_S,
     UNLISTED_TTL_S,
     WORKSPACES_TTL_S,
@@ -74,7 +74,7 @@
                     reports.append((sender, to, direction, totals))
             for sender, to, direction, totals in reports:
                 if to not in self.crashed and not self.loss(sender, to):
-                    self.sums[to].take(sender, direction, totals, now_s=self.now_s)
+                    self.sums[to].update(sender, direction, totals, now_s=self.now_s)
         for sums in self.sums.values():
             sums.refresh(now_s=self.now_s)
 
@@ -100,7 +100,7 @@
 class TestTotals:
     def test_sum_of_all_fields(self):
         """Instances, link time and the totals of each server are summed."""
-        both = total([own(2), own(3), NOTHING])
+        both = total([own(2), own(3), EMPTY_LOAD])
         assert both == LoadTotals(2, 4.0, {7: ServerTotals(5, 500.0)})
         assert both.demand is NO_DEMAND
 
@@ -228,7 +228,7 @@
         assert sums.others.instances == 1
         later_s = fleet.now_s + REPORT_TTL_S + 0.1
         sums.refresh(now_s=later_s)
-        assert sums.others == NOTHING
+        assert sums.others == EMPTY_LOAD
 
     def test_age_is_bounded_by_path_length(self):
         """The mean age of a sum has the delay of each level of the tree."""
@@ -241,7 +241,7 @@
     def test_report_of_other_sender_is_ignored(self):
         """Only reports of the parent, children and roots are summed."""
         sums = Fleet([5, 2]).sums["0-0"]
-        assert not sums.take("0-9", Direction.UP, own(3), now_s=0.0)
+        assert not sums.update("0-9", Direction.UP, own(3), now_s=0.0)
 
 
 class TestReportedDemand:
@@ -253,7 +253,7 @@
         for at_s, heaviest in reports:
             demand = Demand({KEY: 90.0}, {(KEY, n): r for n, r in heaviest.items()})
             change = own(1)._replace(demand=demand)
-            assert sums.take("1-0", Direction.ACROSS, change, now_s=at_s)
+            assert sums.update("1-0", Direction.ACROSS, change, now_s=at_s)
         sums.refresh(now_s=now_s)
         heaviest_per_s = sums.others.demand.heaviest_per_s
         return {workspace: rate for (_, workspace), rate in heaviest_per_s.items()}
@@ -276,7 +276,7 @@
 
     def test_full_list_may_omit_workspaces(self):
         """Guards against workspaces that fluctuate at the end of full lists."""
-        full = {n: 9.0 + n for n in range(MOST_HEAVIEST_SENT)}
+        full = {n: 9.0 + n for n in range(MAX_SENT_WORKSPACES)}
         first = {**full, 99: 20.0}
         del first[0]
         rates = self.rates((0.0, first), (0.5, full), now_s=0.5)
--- a/tests/test_request_room.py
+++ b/tests/test_request_room.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from violethatch.request_room import RequestRoom, may_connect
+from violethatch.request_capacity import RequestCapacity, may_connect
 
 
 MAX_REQUESTS = 400
@@ -23,7 +23,7 @@
 class TestRequestRoom:
     def test_instance_with_skewed_load_is_full(self):
         """It is full before it rejects requests, until below half of its limit."""
-        readiness = RequestRoom()
+        readiness = RequestCapacity()
         assert check(readiness, 299, 10.0)
         assert not check(readiness, 300, 10.0)
         assert not check(readiness, 201, 10.0)
@@ -32,7 +32,7 @@
 
     def test_instance_with_balanced_load_stays_ready(self):
         """The other instances would not serve its requests either."""
-        readiness = RequestRoom()
+        readiness = RequestCapacity()
         assert check(readiness, 400, 210.0)
         assert check(readiness, 400, None)
         assert not check(readiness, 400, 100.0)
@@ -69,7 +69,7 @@
     def __init__(self, instances, rate_per_s, seed):
         self.rng = random.Random(seed)
         self.rate_per_s = rate_per_s
-        self.readiness_checks = [RequestRoom() for _ in range(instances)]
+        self.readiness_checks = [RequestCapacity() for _ in range(instances)]
         self.in_flight = [0] * instances
         self.failed = [0] * instances
         self.reported = list(self.in_flight)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -14,12 +14,12 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from violethatch.estimate_capacity import Room, Targets, estimate_capacity
 
 from routing_samples import engine, runner
 from violethatch.engine_model import HOP_MS, AcceleratorKind
 from violethatch.paths import LayerMap
 from violethatch.placement import Host, divide
-from violethatch.room import Room, Targets, room
 
 
 TARGETS = Targets(0.5, 0.25)
@@ -276,8 +276,8 @@
         deviations = {}
         for seed in range(50):
             lost = lost_runners(fleet, random.Random(seed))
-            result = room(
-                reference_fleet(fleet), left_out=lost, paces={}, targets=targets
+            result = estimate_capacity(
+                reference_fleet(fleet), excluded=lost, slowdowns={}, targets=targets
             )
             served = reference(fleet, lost)
             if (result.streams, result.starts_per_s) != pytest.approx(
@@ -313,7 +313,7 @@
 
     sys.setprofile(count_call)
     try:
-        room(layer_map, left_out=excluded, paces={}, targets=TARGETS)
+        estimate_capacity(layer_map, excluded=excluded, slowdowns={}, targets=TARGETS)
     finally:
         sys.setprofile(None)
     return count
@@ -322,7 +322,9 @@
 def estimate(servers, spec=None, *, excluded=(), slowdowns=None, targets=TARGETS):
     """Return the capacity of some runners."""
     layer_map = LayerMap(servers, spec or engine())
-    return room(layer_map, left_out=excluded, paces=slowdowns or {}, targets=targets)
+    return estimate_capacity(
+        layer_map, excluded=excluded, slowdowns=slowdowns or {}, targets=targets
+    )
 
 
 def chain(name, *, zone="z1", **changes):
