--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -12,9 +12,9 @@
 from . import clocks
 from ._flow_control import FlowController
 from .backends import BackendServer, BackendTable
+from .capacity import Room, Targets, estimate_capacity
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
-from .estimate_capacity import Room, Targets, estimate_capacity
 from .local_paths import FULL, NearFirst
 from .membership import rendezvous
 from .path_shares import (
--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -191,7 +191,7 @@
             if to in self.crashed or draw < self.loss:
                 continue
             for _ in range(2 if draw > 1 - self.duplicated else 1):
-                self.sums[to].take(sender, direction, totals, now_s=self.now_s)
+                self.sums[to].update(sender, direction, totals, now_s=self.now_s)
         datagrams.clear()
 
     def known_demand(self, instance_id):
--- a/tests/test_admission_failures.py
+++ b/tests/test_admission_failures.py
@@ -15,8 +15,6 @@
 
 import pytest
 
-from violethatch.estimate_capacity import Targets, estimate_capacity
-
 import virtual_time
 
 from mortal_fleet import Network, instance_entries
@@ -26,6 +24,7 @@
 from violethatch._peer_datagrams import LoadDatagram
 from violethatch._peer_links import PeerLinks
 from violethatch._router import Router
+from violethatch.capacity import Targets, estimate_capacity
 from violethatch.desired import ServiceSpec
 from violethatch.errors import VioletHatchError
 from violethatch.paths import LayerMap
--- a/tests/test_demand_sums.py
+++ b/tests/test_demand_sums.py
@@ -28,7 +28,7 @@
     def __init__(self, demand):
         self._demand = demand
 
-    def offered(self, key, workspace, *, now_s):
+    def record_offer(self, key, workspace, *, now_s):
         """Ignore an offer."""
 
     def demand(self, *, now_s):
