--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -39,6 +39,7 @@
 from violethatch.demand import (
     MAX_ENCODED_BYTES,
     MAX_SENT_KEYS,
+    MAX_SENT_WORKSPACES,
     MAX_SUMMED_WORKSPACES,
     Demand,
     DemandCounter,
--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -117,7 +117,7 @@
                 neighbour: totals.demand
                 for neighbour, totals in totals_by_neighbour.items()
             },
-            most_bytes=max_demand_bytes(len(recipients)),
+            max_bytes=max_demand_bytes(len(recipients)),
         )
         limit = max_servers(len(recipients), demands.values())
         for neighbour, totals in totals_by_neighbour.items():
--- a/src/violethatch/capacity.py
+++ b/src/violethatch/capacity.py
@@ -170,8 +170,8 @@
 
     Args:
         layer_map: The runners of the service, in all zones.
-        left_out: Ids of runners that are not usable.
-        paces: By id, the factor by which a slow runner's steps take longer.
+        excluded: Ids of runners that are not usable.
+        slowdowns: By id, the factor by which a slow runner's steps take longer.
         targets: The latency targets; a time that is not positive is no limit.
 
     .. versionadded:: 26.5.0
@@ -202,7 +202,7 @@
 
 
 def _runners(
-    servers: Iterable[BackendServer], engine: EngineSpec, paces: Mapping[str, float]
+    servers: Iterable[BackendServer], engine: EngineSpec, slowdowns: Mapping[str, float]
 ) -> list[_Runner]:
     """Return runners with their times, the fastest first."""
     # A stream caches its prompt and on average half of its answer.
@@ -219,7 +219,7 @@
     for server in servers:
         assert server.layers is not None
         step_ms, single_step_ms, prefill_ms = layer_ms[server.kind]
-        slowdown = paces.get(server.id, 1.0)
+        slowdown = slowdowns.get(server.id, 1.0)
         kv_tokens = engine.kv_capacity_tokens(
             engine.kinds[server.kind], server.layers.size
         )
--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -30,7 +30,7 @@
 MAX_SUMMED_WORKSPACES = 32
 #: The maximum number of keys in a sum: the datagrams of five neighbours, and some of
 #: the instance's own.
-MOST_KEYS_KEPT = 64
+MAX_SUMMED_KEYS = 64
 #: The number of neighbours that are sent workspaces in a tick.
 _WORKSPACE_RECIPIENTS_PER_TICK = 2
 #: The number of counters to which a slice is reduced; a rate is underestimated by at
@@ -125,7 +125,7 @@
     Args:
         demand: The demand to encode; rates are rounded to eighths per second, capped
             at 8,191.875, and omitted if they round to 0.
-        most_bytes: The maximum size.  Keys take precedence over workspaces, and
+        max_bytes: The maximum size.  Keys take precedence over workspaces, and
             larger rates over smaller.
 
     .. versionadded:: 26.5.0
@@ -199,20 +199,20 @@
         self._last_rounds: dict[str, int] = {}
 
     def pack(
-        self, demands: Mapping[str, Demand], *, most_bytes: int
+        self, demands: Mapping[str, Demand], *, max_bytes: int
     ) -> dict[str, bytes]:
         """Return the encoded demand for each neighbour.
 
         Args:
             demands: By neighbour, the demand to send.
-            most_bytes: The maximum total size.
+            max_bytes: The maximum total size.
 
         .. versionadded:: 26.5.0
         """
         if not demands:
             return {}
         self._round += 1
-        bytes_per_neighbour = most_bytes // len(demands)
+        bytes_per_neighbour = max_bytes // len(demands)
         encoded = {
             neighbour: encode_demand(
                 Demand(demand.offers_per_s, {}), max_bytes=bytes_per_neighbour
@@ -221,7 +221,7 @@
         }
         candidates = [neighbour for neighbour, data in encoded.items() if data]
         candidates.sort(key=lambda neighbour: self._last_rounds.get(neighbour, 0))
-        free_bytes = most_bytes - sum(map(len, encoded.values()))
+        free_bytes = max_bytes - sum(map(len, encoded.values()))
         for neighbour in candidates[:_WORKSPACE_RECIPIENTS_PER_TICK]:
             self._last_rounds[neighbour] = self._round
             keys_bytes = len(encoded[neighbour])
@@ -341,7 +341,7 @@
 ) -> Demand:
     """Return a demand with the maximum number of entries of a sum."""
     return Demand(
-        _largest(offers_per_s, limit=MOST_KEYS_KEPT),
+        _largest(offers_per_s, limit=MAX_SUMMED_KEYS),
         _largest(heaviest_per_s, limit=MAX_SUMMED_WORKSPACES),
     )
 
--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -42,7 +42,7 @@
 
         Args:
             servers: All current totals, by the server's number.
-            most: The maximum number of servers.
+            limit: The maximum number of servers.
         """
         self._round += 1
         numbers = servers.keys() | self._sent.keys()
--- a/src/violethatch/retry_delay.py
+++ b/src/violethatch/retry_delay.py
@@ -34,8 +34,9 @@
 
     Args:
         blocked_s: The expected duration of the cause, in seconds.
-        asked_s: The remaining back-off that servers requested, in seconds: it is not an
-            estimate, and a caller that retries earlier is rejected again.
+        requested_backoff_s: The remaining back-off that servers requested, in
+            seconds: it is not an estimate, and a caller that retries earlier is
+            rejected again.
         rng: The source of the jitter.
 
     .. versionadded:: 26.2.0
--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -172,7 +172,7 @@
         }
         demands = self.feeds[instance_id].pack(
             {to: totals.demand for to, totals in totals_by_neighbour.items()},
-            most_bytes=_load_link.max_demand_bytes(recipient_count),
+            max_bytes=_load_link.max_demand_bytes(recipient_count),
         )
         return [
             (
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -19,9 +19,9 @@
     MAX_ENCODED_BYTES,
     MAX_SENT_KEYS,
     MAX_SENT_WORKSPACES,
+    MAX_SUMMED_KEYS,
     MAX_SUMMED_WORKSPACES,
     MIN_COUNTERS,
-    MOST_KEYS_KEPT,
     NO_DEMAND,
     Demand,
     DemandCounter,
@@ -95,10 +95,10 @@
         assert list(decode_demand(data).offers_per_s) == [DemandKey(9, 0), KEY]
 
     @given(demands, st.integers(0, MAX_ENCODED_BYTES))
-    def test_bytes_are_bounded(self, demand, most_bytes):
+    def test_bytes_are_bounded(self, demand, max_bytes):
         """Guards against datagrams above their limit; keys precede workspaces."""
-        data = encode_demand(demand, max_bytes=most_bytes)
-        assert len(data) <= most_bytes
+        data = encode_demand(demand, max_bytes=max_bytes)
+        assert len(data) <= max_bytes
         decoded = decode_demand(data)
         assert decoded.offers_per_s.items() <= demand.offers_per_s.items()
         if decoded.heaviest_per_s:
@@ -133,7 +133,7 @@
             for numbers in (range(100), range(100, 200))
         ]
         summed = total_demand(parts)
-        assert len(summed.offers_per_s) == MOST_KEYS_KEPT
+        assert len(summed.offers_per_s) == MAX_SUMMED_KEYS
         assert len(summed.heaviest_per_s) == MAX_SUMMED_WORKSPACES
         assert min(summed.heaviest_per_s.values()) == 200 - MAX_SUMMED_WORKSPACES + 1
 
@@ -230,7 +230,7 @@
         demand = of_workspaces({n: 10.0 + n for n in range(8)})
         reported = collections.Counter()
         for _ in range(6):
-            encoded = feed.pack(dict.fromkeys("abcde", demand), most_bytes=310)
+            encoded = feed.pack(dict.fromkeys("abcde", demand), max_bytes=310)
             assert sum(map(len, encoded.values())) <= 310
             for neighbour, data in encoded.items():
                 decoded = decode_demand(data)
@@ -243,13 +243,13 @@
         feed = DemandFeed()
         demand = of_workspaces({n: 10.0 + n for n in range(8)})
         for _ in range(4):
-            feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
+            feed.pack(dict.fromkeys("abcd", demand), max_bytes=310)
         feed.forget("c")
-        encoded = feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
+        encoded = feed.pack(dict.fromkeys("abcd", demand), max_bytes=310)
         assert decode_demand(encoded["c"]).heaviest_per_s
 
     def test_no_demand_has_no_bytes(self):
         """Guards against bytes without admission control."""
-        encoded = DemandFeed().pack({"a": NO_DEMAND, "b": NO_DEMAND}, most_bytes=510)
+        encoded = DemandFeed().pack({"a": NO_DEMAND, "b": NO_DEMAND}, max_bytes=510)
         assert encoded == {"a": b"", "b": b""}
-        assert DemandFeed().pack({}, most_bytes=0) == {}
+        assert DemandFeed().pack({}, max_bytes=0) == {}
--- a/tests/test_load_link.py
+++ b/tests/test_load_link.py
@@ -225,7 +225,7 @@
         for _ in range(4):
             demands = feed.pack(
                 {str(n): demand for n in range(neighbours)},
-                most_bytes=_load_link.max_demand_bytes(neighbours),
+                max_bytes=_load_link.max_demand_bytes(neighbours),
             )
             assert all(decode_demand(data).offers_per_s for data in demands.values())
             limit = _load_link.max_servers(neighbours, demands.values())
--- a/tests/test_request_room.py
+++ b/tests/test_request_room.py
@@ -20,7 +20,7 @@
     )
 
 
-class TestRequestRoom:
+class TestRequestCapacity:
     def test_instance_with_skewed_load_is_full(self):
         """It is full before it rejects requests, until below half of its limit."""
         readiness = RequestCapacity()
