--- a/src/violethatch/_reservation_link.py
+++ b/src/violethatch/_reservation_link.py
@@ -107,7 +107,7 @@
             work: The work's id.
             priority: The caller's; lower numbers are more urgent.
             starts_per_s: The room's starts per second, divided by the instances.
-            most_s: The latest retry, in seconds from now.
+            max_delay_s: The latest retry, in seconds from now.
         """
         slots = self._slots.get(service)
         if slots is None:
--- a/src/violethatch/start_reservations.py
+++ b/src/violethatch/start_reservations.py
@@ -135,7 +135,7 @@
         Args:
             priority: The caller's; lower numbers are more urgent.
             starts_per_s: The room's starts per second, divided by the instances.
-            most_s: The latest retry, in seconds from now; `MOST_S` at most.
+            max_delay_s: The latest retry, in seconds from now; `MAX_RETRY_S` at most.
             now_s: The current steady time, in seconds.
 
         .. versionadded:: 26.5.0
--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -262,10 +262,10 @@
         """Starts that remain are early enough for who is refused a moment later."""
         slots = slots_of(seed)
         less = [
-            slots.reserve(one, starts_per_s=20.0, most_s=3.0, now_s=100.0)
+            slots.reserve(one, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
             for one in (2, 1, 2)
         ]
-        urgent = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.1)
+        urgent = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.1)
         assert urgent.is_reserved
         assert all(urgent.at_s < one.at_s for one in less)
 
@@ -273,9 +273,9 @@
         """The last starts are not given to less urgent callers meanwhile."""
         slots = slots_of()
         for _ in range(10):
-            slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.0)
-        less = slots.reserve(2, starts_per_s=20.0, most_s=3.0, now_s=100.1)
-        urgent = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.2)
+            slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
+        less = slots.reserve(2, starts_per_s=20.0, max_delay_s=3.0, now_s=100.1)
+        urgent = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.2)
         assert urgent.is_reserved
         assert urgent.at_s < less.at_s
 
@@ -283,13 +283,15 @@
         """Nothing is left to urgent callers where none of them is refused."""
         slots = slots_of()
         told = [
-            slots.reserve(12, starts_per_s=40.0, most_s=3.0, now_s=100.0 + n / 10)
+            slots.reserve(12, starts_per_s=40.0, max_delay_s=3.0, now_s=100.0 + n / 10)
             for n in range(20)
         ]
         assert told[-1].at_s - 101.9 < 1.0
 
-    @pytest.mark.parametrize("most_s", [0.0, 0.4, -1.0, 0.5, 1.0, 3.0, 60.0, math.inf])
-    def test_bounds_of_the_time(self, most_s):
+    @pytest.mark.parametrize(
+        "max_delay_s", [0.0, 0.4, -1.0, 0.5, 1.0, 3.0, 60.0, math.inf]
+    )
+    def test_bounds_of_the_time(self, max_delay_s):
         """It is neither too early for a start nor beyond the caller's time."""
         slots = slots_of()
         for _ in range(200):
@@ -304,8 +306,8 @@
     def test_no_room(self, starts_per_s):
         """Nothing is reserved of a room that is gone or unknown."""
         slots = slots_of()
-        slots.reserve(0, starts_per_s=9.0, most_s=3.0, now_s=99.0)
-        slot = slots.reserve(0, starts_per_s=starts_per_s, most_s=2.0, now_s=100.0)
+        slots.reserve(0, starts_per_s=9.0, max_delay_s=3.0, now_s=99.0)
+        slot = slots.reserve(0, starts_per_s=starts_per_s, max_delay_s=2.0, now_s=100.0)
         assert slot == (102.0, False)
 
     @pytest.mark.parametrize("seed", range(20))
@@ -318,7 +320,7 @@
             slot = slots.reserve(
                 rng.randrange(3),
                 starts_per_s=rng.choice((0.0, 4.0, 8.0, 12.0)),
-                most_s=3.0,
+                max_delay_s=3.0,
                 now_s=100.0 + n / 100,
             )
             if slot.is_reserved:
@@ -331,10 +333,10 @@
         """What was told before is forgotten, and counted until then."""
         slots = slots_of()
         for _ in range(50):
-            slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.0)
+            slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
         assert 5 <= slots.reserved(now_s=100.0) <= 25
         assert slots.reserved(now_s=104.0) == 0
-        slot = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=1e7)
+        slot = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=1e7)
         assert slot.is_reserved
         assert slots.reserved(now_s=1e7) == 1
 
@@ -393,5 +395,5 @@
             kept.add(f"{n:032x}", 101.0, now_s=100.0)
         assert kept.reserved(now_s=100.0) == MAX_RESERVATIONS
         assert kept.claim(f"{0:032x}", now_s=101.0).outcome == "unknown"
-        last = f"{2 * MOST_WORKS - 1:032x}"
+        last = f"{2 * MAX_RESERVATIONS - 1:032x}"
         assert kept.claim(last, now_s=101.0).outcome == "due"
