--- a/src/violethatch/_return_link.py
+++ b/src/violethatch/_return_link.py
@@ -41,15 +41,15 @@
 
 
 #: How many instances keep a reservation: one of them may be gone.
-_KEEPERS = 2
+_REPLICAS = 2
 #: How long answers are waited for, in seconds: a way there and back within a zone, and
 #: the time that small instances are late by.  The request waits for it.
-_ANSWER_S = 0.03
+_RESPONSE_TIMEOUT_S = 0.03
 #: The most claims that wait for answers; further ones are unknown at once.
-_MOST_ASKED = 256
+_MAX_PENDING_CLAIMS = 256
 #: The answers that are remembered, so that a question that comes twice has the same
 #: answer twice: as many as can be on their way from a few instances.
-_MOST_ANSWERS = 1024
+_MAX_CACHED_RESULTS = 1024
 _MS_PER_S = 1000
 
 
@@ -60,12 +60,12 @@
     entries: dict[str, InstanceEntry]
 
 
-class _Question(NamedTuple):
+class _PendingClaim(NamedTuple):
     """A claim: who has not answered yet, the best answer so far, and who waits."""
 
-    keepers: set[str]
-    known: list[Claim]
-    answer: asyncio.Future[Claim]
+    awaited_ids: set[str]
+    results: list[Claim]
+    best_result: asyncio.Future[Claim]
 
 
 class ReturnLink:
@@ -82,14 +82,14 @@
         self._rng = rng
         self._numbers = itertools.count(rng.getrandbits(30))
         self._slots: dict[str, ReturnSlots] = {}
-        self._kept = ReservedStarts()
-        self._asked: dict[int, _Question] = {}
+        self._reservations = ReservedStarts()
+        self._pending: dict[int, _PendingClaim] = {}
         #: By instance and number, what its question was answered.
-        self._answers: dict[tuple[str, int], Claim] = {}
+        self._results: dict[tuple[str, int], Claim] = {}
         self._zone = _Zone(-1, {})
-        datagrams.on(ReservedDatagram, self._take_reservation)
-        datagrams.on(ClaimDatagram, self._take_question)
-        datagrams.on(ClaimedDatagram, self._take_answer)
+        datagrams.on(ReservedDatagram, self._on_reservation)
+        datagrams.on(ClaimDatagram, self._on_claim)
+        datagrams.on(ClaimedDatagram, self._on_result)
 
     def slot(
         self,
@@ -117,7 +117,7 @@
             priority, starts_per_s=starts_per_s, most_s=most_s, now_s=now_s
         )
         if slot.is_reserved:
-            self._notify(work, slot.at_s, now_s=now_s)
+            self._store(work, slot.at_s, now_s=now_s)
         return slot
 
     async def claim(self, work: str) -> Claim:
@@ -126,13 +126,13 @@
         Args:
             work: The work's id.
         """
-        if len(self._asked) >= _MOST_ASKED:
+        if len(self._pending) >= _MAX_PENDING_CLAIMS:
             return UNKNOWN
         known = UNKNOWN
         own_id = self._directory.own.id
-        keepers = self._keepers(work)
+        keepers = self._holders(work)
         if any(one.id == own_id for one in keepers):
-            known = self._kept.claim(work, now_s=clocks.now_s())
+            known = self._reservations.claim(work, now_s=clocks.now_s())
         peers = [one for one in keepers if one.id != own_id]
         if not peers or not self._datagrams.is_open:
             return known
@@ -142,7 +142,7 @@
             self._datagrams.send(peer, message)
         if known.outcome is ClaimOutcome.DUE:
             return known  # the other keeper uses it up as well
-        return await self._answer_to(number, peers, known)
+        return await self._await_result(number, peers, known)
 
     def reserved(self, service: str) -> int:
         """Return how many reservations made here are not yet due.
@@ -155,9 +155,9 @@
 
     def kept(self) -> int:
         """Return how many reservations kept here can still be claimed."""
-        return self._kept.reserved(now_s=clocks.now_s())
+        return self._reservations.reserved(now_s=clocks.now_s())
 
-    def _keepers(self, work: str) -> Sequence[InstanceEntry]:
+    def _holders(self, work: str) -> Sequence[InstanceEntry]:
         """Return who keeps a work's reservation."""
         if self._zone.revision != self._directory.revision:
             own = self._directory.own
@@ -168,35 +168,35 @@
             }
             self._zone = _Zone(self._directory.revision, entries | {own.id: own})
         entries = self._zone.entries
-        return [entries[one] for one in rendezvous(work, entries, count=_KEEPERS)]
+        return [entries[one] for one in rendezvous(work, entries, count=_REPLICAS)]
 
-    def _notify(self, work: str, at_s: float, *, now_s: float) -> None:
+    def _store(self, work: str, at_s: float, *, now_s: float) -> None:
         """Have a reservation kept."""
         own_id = self._directory.own.id
         left_ms = min(LONGEST_LEFT_MS, max(0, round((at_s - now_s) * _MS_PER_S)))
-        for keeper in self._keepers(work):
+        for keeper in self._holders(work):
             if keeper.id == own_id:
-                self._kept.keep(work, at_s, now_s=now_s)
+                self._reservations.keep(work, at_s, now_s=now_s)
             else:
                 message = ReservedDatagram(keeper.token, own_id, work, left_ms)
                 self._datagrams.send(keeper, message)
 
-    async def _answer_to(
+    async def _await_result(
         self, number: int, peers: Sequence[InstanceEntry], known: Claim
     ) -> Claim:
         """Return the best answer that comes in time."""
         answer: asyncio.Future[Claim] = asyncio.get_running_loop().create_future()
-        question = _Question({one.id for one in peers}, [known], answer)
-        self._asked[number] = question
+        question = _PendingClaim({one.id for one in peers}, [known], answer)
+        self._pending[number] = question
         try:
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
                 return await answer
         except TimeoutError:
-            return _best(question.known)
+            return _best_result(question.results)
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
-    def _take_reservation(self, message: ReservedDatagram) -> None:
+    def _on_reservation(self, message: ReservedDatagram) -> None:
         """Keep a reservation that another instance has made.
 
         Raises:
@@ -205,26 +205,26 @@
         check_work_id(message.work)
         now_s = clocks.now_s()
         at_s = now_s + message.left_ms / _MS_PER_S
-        self._kept.keep(message.work, at_s, now_s=now_s)
+        self._reservations.keep(message.work, at_s, now_s=now_s)
 
-    def _take_question(self, message: ClaimDatagram) -> None:
+    def _on_claim(self, message: ClaimDatagram) -> None:
         """Answer a claim, the same if it comes twice.
 
         Raises:
             ValueError: It names no work.
         """
         check_work_id(message.work)
-        self._keepers(message.work)
+        self._holders(message.work)
         asker = self._zone.entries.get(message.sender)
         if asker is None:
             return  # its entry is not known here yet; nothing is used up
         key = (message.sender, message.number)
-        claim = self._answers.get(key)
+        claim = self._results.get(key)
         if claim is None:
-            claim = self._kept.claim(message.work, now_s=clocks.now_s())
-            self._answers[key] = claim
-            if len(self._answers) > _MOST_ANSWERS:
-                del self._answers[next(iter(self._answers))]
+            claim = self._reservations.claim(message.work, now_s=clocks.now_s())
+            self._results[key] = claim
+            if len(self._results) > _MAX_CACHED_RESULTS:
+                del self._results[next(iter(self._results))]
         answer = ClaimedDatagram(
             token=asker.token,
             sender=self._directory.own.id,
@@ -234,19 +234,19 @@
         )
         self._datagrams.send(asker, answer)
 
-    def _take_answer(self, message: ClaimedDatagram) -> None:
+    def _on_result(self, message: ClaimedDatagram) -> None:
         """Take an answer in, once from each who was asked."""
-        question = self._asked.get(message.number)
-        if question is None or message.sender not in question.keepers:
+        question = self._pending.get(message.number)
+        if question is None or message.sender not in question.awaited_ids:
             return  # too late, or a datagram that came twice
-        question.keepers.discard(message.sender)
-        question.known.append(Claim(message.outcome, message.left_ms / _MS_PER_S))
+        question.awaited_ids.discard(message.sender)
+        question.results.append(Claim(message.outcome, message.left_ms / _MS_PER_S))
         is_due = message.outcome is ClaimOutcome.DUE
-        if (is_due or not question.keepers) and not question.answer.done():
-            question.answer.set_result(_best(question.known))
+        if (is_due or not question.awaited_ids) and not question.best_result.done():
+            question.best_result.set_result(_best_result(question.results))
 
 
-def _best(claims: Sequence[Claim]) -> Claim:
+def _best_result(claims: Sequence[Claim]) -> Claim:
     """Return the answer that counts: a due one, else an early one, else unknown."""
     for outcome in (ClaimOutcome.DUE, ClaimOutcome.EARLY):
         for claim in claims:
--- a/src/violethatch/return_slots.py
+++ b/src/violethatch/return_slots.py
@@ -1,15 +1,16 @@
 # SPDX-License-Identifier: MIT
-"""Reserves starts for refused callers, and tells which retries have one.
+"""Reserves starts for rejected requests, and matches retries with reservations.
 
-Load pattern: hundreds of callers are refused within a second while room is short.
-Some retry at once and often.  Told the same time, the others return together, and the
-runners that are back by then are overloaded once more, in arrival order.
+Load pattern: hundreds of requests are rejected within a second while capacity is short.
+Some callers retry immediately and often.  With a common retry time, the others retry
+simultaneously, and the runners that have recovered by then are overloaded again, in
+arrival order.
 
-A refused caller is told a time at which a start is reserved for it.  An instance
-reserves only from its own share of the room, so that nothing has to be agreed between
-instances that refuse at the same moment.  Its starts are spaced evenly in time: a share
-may be less than one start in several seconds.  They begin at a random phase, since the
-instances have no common clock, and would otherwise all reserve the same moment.
+A rejected request gets a retry time at which a start is reserved for it.  An instance
+reserves only from its own share of the capacity, so that instances that reject requests
+at the same time need no coordination.  Its starts are evenly spaced: a share may be
+less than one start in several seconds.  They begin at a random phase, since the
+instances have no common clock and would otherwise all reserve the same moment.
 
 .. versionadded:: 26.5.0
 """
@@ -24,45 +25,45 @@
 from typing import NamedTuple
 
 
-#: The earliest retry, in seconds: some running streams end by then.
+#: The minimum retry delay, in seconds: some running streams finish within it.
 LEAST_S = 0.5
-#: The latest retry, in seconds: the room of later times is not known.
+#: The maximum retry delay, in seconds: later capacity can't be predicted.
 MOST_S = 3.0
-#: The part of an instance's share that is reserved: half at the most, so that the
-#: starts of many instances that fall together are within the room.  With 0.5, and a
-#: demand of 0.88 of the room, half a second had offers of 1.23 of the room.
-RESERVED_PART = 0.3
+#: The fraction of an instance's share that is reserved: at most half, so that
+#: coinciding starts of many instances fit in the capacity.  With 0.5 and a demand of
+#: 0.88 of the capacity, the load offered in half a second reached 1.23 of the capacity.
+RESERVED_FRACTION = 0.3
 #: The length of a slot, in seconds.
 SLOT_S = 0.25
-#: How long a refusal counts as one of the same time, in seconds: so many starts as
-#: more urgent callers were refused are left to the next of them.
-_URGENT_S = 1.0
-#: The part of the time up to a caller's latest retry that is left to more urgent ones
-#: by the least urgent ones: with hundreds of instances each refuses fewer than one
-#: caller in a second, and doesn't know whom the others refuse.
-_HELD_PART = 0.8
-#: How many refusals within how many seconds show which priorities are refused: where
-#: no more urgent one is among them, nothing is left to more urgent ones.
-_SHOWN_REFUSALS = 8
-_SHOWN_S = 10.0
-#: How long a reservation lasts beyond its time, in seconds.
+#: The window of recent rejections, in seconds: one start is left free for each
+#: more urgent request that was rejected within it.
+_REFUSAL_WINDOW_S = 1.0
+#: The fraction of the time up to its latest retry that a request of the lowest urgency
+#: leaves to more urgent ones: with hundreds of instances each rejects less than one
+#: request per second, and has no information on rejections by the others.
+_MAX_URGENT_FRACTION = 0.8
+#: The number of rejections and the window in seconds that sample the rejected
+#: priorities: a request that is the most urgent in the sample leaves no time to others.
+_SAMPLE_SIZE = 8
+_SAMPLE_WINDOW_S = 10.0
+#: How long after its due time a reservation stays valid, in seconds.
 KEPT_S = 1.5
-#: The most works whose reservations are kept; the oldest are dropped.
+#: The maximum number of stored reservations; the oldest are evicted.
 MOST_WORKS = 4096
-#: How much too early a retry may be, in seconds: callers round the time they are told,
-#: and keepers count it from when they hear of it.
-TOLERANCE_S = 0.05
-#: Within how long after its time a second reservation is taken for a late copy of the
-#: first, in seconds.  A new one is at least `LEAST_S` after the claim of the first.
-_COPY_S = LEAST_S - 2 * TOLERANCE_S
+#: How much too early a retry may arrive, in seconds: callers round the retry time, and
+#: other instances count the delay from the receipt of the reservation.
+EARLY_TOLERANCE_S = 0.05
+#: A second reservation due within this time after the first is a late duplicate, in
+#: seconds.  A new one is due at least `LEAST_S` after the claim of the first.
+_DUPLICATE_WINDOW_S = LEAST_S - 2 * EARLY_TOLERANCE_S
 
 
 class Slot(NamedTuple):
-    """What a refused caller is told.
+    """The retry time of a rejected request.
 
     Attributes:
-        at_s: When to retry, by the clock of the refusing instance, in seconds.
-        is_reserved: Whether a start is reserved for then.
+        at_s: When to retry, by the clock of the rejecting instance, in seconds.
+        is_reserved: Whether a start is reserved for that time.
 
     .. versionadded:: 26.5.0
     """
@@ -72,7 +73,7 @@
 
 
 class ClaimOutcome(enum.StrEnum):
-    """What is known of a work's reservation.
+    """The status of a reservation.
 
     .. versionadded:: 26.5.0
     """
@@ -83,11 +84,11 @@
 
 
 class Claim(NamedTuple):
-    """The answer to a claim.
+    """The result of claiming a reservation.
 
     Attributes:
-        outcome: Whether there is a reservation, and its time has come.
-        left_s: How long until it is due, in seconds; 0 unless it is early.
+        outcome: Whether a reservation exists and is due.
+        left_s: The time until it is due, in seconds; 0 unless the claim is early.
 
     .. versionadded:: 26.5.0
     """
@@ -101,193 +102,209 @@
 
 
 class ReturnSlots:
-    """One instance's reservable starts of one service.
+    """The starts of one service that one instance can reserve.
 
     Args:
-        rng: Draws the phase of the starts.
+        rng: Draws the random phase of the starts.
 
     .. versionadded:: 26.5.0
     """
 
     def __init__(self, *, rng: random.Random) -> None:
-        #: How many starts have passed; the next one is at the next whole number.
-        self._passed = rng.random()
-        self._per_s = 0.0
+        #: Starts elapsed so far; the next start is at the next integer.
+        self._elapsed_starts = rng.random()
+        self._starts_per_s = 0.0
         self._updated_s = 0.0
-        #: By the number of the start, the time that was told.
-        self._taken: dict[int, float] = {}
-        #: By quarter second, how many were told; and the latest one that has passed.
-        self._in_slots: collections.Counter[int] = collections.Counter()
-        self._slot = -1
-        #: Recent refusals, and their number by priority.
-        self._refused: collections.deque[tuple[float, int]] = collections.deque()
-        self._counts: collections.Counter[int] = collections.Counter()
-        #: The times and priorities of the latest refusals.
-        self._latest: collections.deque[tuple[float, int]] = collections.deque(
-            maxlen=_SHOWN_REFUSALS
+        #: The reserved time by start number.
+        self._reserved_times: dict[int, float] = {}
+        #: Reservations by slot, and the current slot.
+        self._reserved_per_slot: collections.Counter[int] = collections.Counter()
+        self._current_slot = -1
+        #: Times and priorities of recent rejections, and their counts by priority.
+        self._recent_refusals: collections.deque[tuple[float, int]] = (
+            collections.deque()
+        )
+        self._refusals_by_priority: collections.Counter[int] = collections.Counter()
+        #: Times and priorities of the latest rejections.
+        self._refusal_sample: collections.deque[tuple[float, int]] = collections.deque(
+            maxlen=_SAMPLE_SIZE
         )
 
     def reserve(
         self, priority: int, *, starts_per_s: float, most_s: float, now_s: float
     ) -> Slot:
-        """Reserve the earliest start that is left for a refused caller's priority.
+        """Reserve the earliest free start for a rejected request of a priority.
 
         Args:
-            priority: The caller's; lower numbers are more urgent.
-            starts_per_s: The room's starts per second, divided by the instances.
-            most_s: The latest retry, in seconds from now; `MOST_S` at most.
-            now_s: The current steady time, in seconds.
+            priority: The request's priority; lower numbers are more urgent.
+            starts_per_s: The starts per second of the capacity, per instance.
+            most_s: The maximum retry delay, in seconds, capped at `MOST_S`.
+            now_s: The current monotonic time, in seconds.
 
         .. versionadded:: 26.5.0
         """
         self._update(starts_per_s, now_s=now_s)
         latest_s = min(MOST_S, most_s)
-        number = self._free_start(priority, latest_s=latest_s, now_s=now_s)
-        self._refused.append((now_s, priority))
-        self._latest.append((now_s, priority))
-        self._counts[priority] += 1
+        number = self._find_free_start(priority, latest_s=latest_s, now_s=now_s)
+        self._recent_refusals.append((now_s, priority))
+        self._refusal_sample.append((now_s, priority))
+        self._refusals_by_priority[priority] += 1
         if number is None:
             return Slot(now_s + max(LEAST_S, latest_s), is_reserved=False)
         at_s = self._time_s(number, now_s=now_s)
-        self._taken[number] = at_s
-        self._in_slots[int(at_s // SLOT_S)] += 1
+        self._reserved_times[number] = at_s
+        self._reserved_per_slot[int(at_s // SLOT_S)] += 1
         return Slot(at_s, is_reserved=True)
 
     def reserved(self, *, now_s: float) -> int:
-        """Return how many reservations are not yet due.
+        """Return the number of reservations that are not yet due.
 
         Args:
-            now_s: The current steady time, in seconds.
+            now_s: The current monotonic time, in seconds.
 
         .. versionadded:: 26.5.0
         """
-        return sum(at_s > now_s for at_s in self._taken.values())
+        return sum(at_s > now_s for at_s in self._reserved_times.values())
 
     def _update(self, starts_per_s: float, *, now_s: float) -> None:
-        """Let time pass, and take another share in."""
-        self._passed += self._per_s * max(0.0, now_s - self._updated_s)
+        """Advance to the current time, and set the rate of starts."""
+        self._elapsed_starts += self._starts_per_s * max(0.0, now_s - self._updated_s)
         self._updated_s = now_s
         is_usable = math.isfinite(starts_per_s) and starts_per_s > 0.0
-        self._per_s = RESERVED_PART * starts_per_s if is_usable else 0.0
+        self._starts_per_s = RESERVED_FRACTION * starts_per_s if is_usable else 0.0
         slot = int(now_s // SLOT_S)
-        if slot != self._slot:
-            self._slot = slot
-            self._taken = {
-                number: at_s for number, at_s in self._taken.items() if at_s > now_s
+        if slot != self._current_slot:
+            self._current_slot = slot
+            self._reserved_times = {
+                number: at_s
+                for number, at_s in self._reserved_times.items()
+                if at_s > now_s
             }
-            for passed in [one for one in self._in_slots if one < slot]:
-                del self._in_slots[passed]
-        if not self._taken:
-            self._passed %= 1.0
-        while self._refused and now_s - self._refused[0][0] >= _URGENT_S:
-            _, priority = self._refused.popleft()
-            self._counts[priority] -= 1
-            if not self._counts[priority]:
-                del self._counts[priority]
+            for expired in [other for other in self._reserved_per_slot if other < slot]:
+                del self._reserved_per_slot[expired]
+        if not self._reserved_times:
+            self._elapsed_starts %= 1.0
+        while (
+            self._recent_refusals
+            and now_s - self._recent_refusals[0][0] >= _REFUSAL_WINDOW_S
+        ):
+            _, priority = self._recent_refusals.popleft()
+            self._refusals_by_priority[priority] -= 1
+            if not self._refusals_by_priority[priority]:
+                del self._refusals_by_priority[priority]
 
     def _time_s(self, number: int, *, now_s: float) -> float:
-        """Return when a start is due at the current rate."""
-        return now_s + (number - self._passed) / self._per_s
+        """Return the time of a start at the current rate."""
+        return now_s + (number - self._elapsed_starts) / self._starts_per_s
 
-    def _free_start(
+    def _find_free_start(
         self, priority: int, *, latest_s: float, now_s: float
     ) -> int | None:
-        """Return the number of the start to reserve; None if none is left."""
-        if latest_s < LEAST_S or not self._per_s:
+        """Return the number of the start to reserve; None if there is none."""
+        if latest_s < LEAST_S or not self._starts_per_s:
             return None
-        most_in_slot = math.ceil(SLOT_S * self._per_s)
-        left = sum(count for one, count in self._counts.items() if one < priority)
-        held_s = self._held_part(priority, now_s=now_s) * (latest_s - LEAST_S)
-        first = math.ceil(self._passed + (LEAST_S + held_s) * self._per_s)
-        last = math.floor(self._passed + latest_s * self._per_s)
-        for one in range(first, last + 1):
-            if one in self._taken:
+        max_per_slot = math.ceil(SLOT_S * self._starts_per_s)
+        to_skip = sum(
+            count
+            for other, count in self._refusals_by_priority.items()
+            if other < priority
+        )
+        urgent_s = self._urgent_fraction(priority, now_s=now_s) * (latest_s - LEAST_S)
+        first = math.ceil(
+            self._elapsed_starts + (LEAST_S + urgent_s) * self._starts_per_s
+        )
+        last = math.floor(self._elapsed_starts + latest_s * self._starts_per_s)
+        for number in range(first, last + 1):
+            if number in self._reserved_times:
                 continue
-            # A higher rate brings starts closer to those that were told before it.
-            slot = int(self._time_s(one, now_s=now_s) // SLOT_S)
-            if self._in_slots[slot] >= most_in_slot:
+            # A higher rate moves starts closer to those reserved before it.
+            slot = int(self._time_s(number, now_s=now_s) // SLOT_S)
+            if self._reserved_per_slot[slot] >= max_per_slot:
                 continue
-            if not left:
-                return one
-            left -= 1
+            if not to_skip:
+                return number
+            to_skip -= 1
         return None
 
-    def _held_part(self, priority: int, *, now_s: float) -> float:
-        """Return which part of its time a caller leaves to more urgent ones."""
-        if len(self._latest) == _SHOWN_REFUSALS:
-            is_shown = now_s - self._latest[0][0] < _SHOWN_S
-            if is_shown and all(one >= priority for _, one in self._latest):
+    def _urgent_fraction(self, priority: int, *, now_s: float) -> float:
+        """Return the fraction of the time to leave to more urgent requests."""
+        if len(self._refusal_sample) == _SAMPLE_SIZE:
+            is_recent = now_s - self._refusal_sample[0][0] < _SAMPLE_WINDOW_S
+            if is_recent and all(
+                other >= priority for _, other in self._refusal_sample
+            ):
                 return 0.0
-        return _HELD_PART * (1.0 - 0.5 ** max(0, priority))
+        return _MAX_URGENT_FRACTION * (1.0 - 0.5 ** max(0, priority))
 
 
-class _Kept(NamedTuple):
-    """A reservation: its time, and whether it was used."""
+class _Reservation(NamedTuple):
+    """The due time of a reservation, and whether it was used."""
 
     at_s: float
     is_used: bool
 
 
 class ReservedStarts:
-    """The reservations that one instance keeps, by work.
+    """The reservations that one instance stores, by work id.
 
     .. versionadded:: 26.5.0
     """
 
     def __init__(self) -> None:
-        self._kept: dict[str, _Kept] = {}
+        self._reservations: dict[str, _Reservation] = {}
 
     def keep(self, work: str, at_s: float, *, now_s: float) -> None:
-        """Keep a work's reservation; one that was kept or used before stays so.
+        """Store a reservation; a duplicate changes nothing.
 
         Args:
             work: The work's id.
             at_s: When its start is due, in seconds.
-            now_s: The current steady time, in seconds.
+            now_s: The current monotonic time, in seconds.
 
         .. versionadded:: 26.5.0
         """
-        known = self._kept.get(work)
-        if known is not None and 0.0 <= at_s - known.at_s < _COPY_S:
+        stored = self._reservations.get(work)
+        if stored is not None and 0.0 <= at_s - stored.at_s < _DUPLICATE_WINDOW_S:
             return
-        self._kept.pop(work, None)
-        self._kept[work] = _Kept(at_s, is_used=False)
-        self._drop(now_s)
+        self._reservations.pop(work, None)
+        self._reservations[work] = _Reservation(at_s, is_used=False)
+        self._evict(now_s)
 
     def claim(self, work: str, *, now_s: float) -> Claim:
-        """Use a work's reservation up if it is due.
+        """Claim a reservation; a due one is consumed.
 
         Args:
             work: The work's id.
-            now_s: The current steady time, in seconds.
+            now_s: The current monotonic time, in seconds.
 
         .. versionadded:: 26.5.0
         """
-        known = self._kept.get(work)
-        if known is None or known.is_used or now_s >= known.at_s + KEPT_S:
+        stored = self._reservations.get(work)
+        if stored is None or stored.is_used or now_s >= stored.at_s + KEPT_S:
             return UNKNOWN
-        if now_s < known.at_s - TOLERANCE_S:
-            return Claim(ClaimOutcome.EARLY, known.at_s - now_s)
-        self._kept[work] = known._replace(is_used=True)
+        if now_s < stored.at_s - EARLY_TOLERANCE_S:
+            return Claim(ClaimOutcome.EARLY, stored.at_s - now_s)
+        self._reservations[work] = stored._replace(is_used=True)
         return DUE
 
     def reserved(self, *, now_s: float) -> int:
-        """Return how many reservations can still be claimed.
+        """Return the number of reservations that can still be claimed.
 
         Args:
-            now_s: The current steady time, in seconds.
+            now_s: The current monotonic time, in seconds.
 
         .. versionadded:: 26.5.0
         """
         return sum(
-            not one.is_used and now_s < one.at_s + KEPT_S for one in self._kept.values()
+            not stored.is_used and now_s < stored.at_s + KEPT_S
+            for stored in self._reservations.values()
         )
 
-    def _drop(self, now_s: float) -> None:
-        """Drop the oldest ones that have expired or are too many."""
-        while self._kept:
-            oldest = next(iter(self._kept))
-            has_expired = now_s >= self._kept[oldest].at_s + KEPT_S
-            if not has_expired and len(self._kept) <= MOST_WORKS:
+    def _evict(self, now_s: float) -> None:
+        """Remove the oldest reservations that have expired or exceed the limit."""
+        while self._reservations:
+            oldest = next(iter(self._reservations))
+            has_expired = now_s >= self._reservations[oldest].at_s + KEPT_S
+            if not has_expired and len(self._reservations) <= MOST_WORKS:
                 return
-            del self._kept[oldest]
+            del self._reservations[oldest]
--- a/src/violethatch/start_queue.py
+++ b/src/violethatch/start_queue.py
@@ -31,18 +31,18 @@
 #: largest tenth, and 100 priorities hold less than 2 MB.
 _RECENT_OFFERS = 128
 #: The smallest number of recent offers that has a largest tenth.
-_LEAST_OFFERS = 10
+_MIN_OFFERS = 10
 #: The fraction of recent offers that is not large.
-_SMALL_PART = 0.9
+_SMALL_FRACTION = 0.9
 #: Over which time starts of more urgent requests are averaged, in seconds.
-_RATE_S = 0.5
+_RATE_TIME_CONSTANT_S = 0.5
 #: After how many of these times the scale of rates starts anew: exp(30) is 1e13.
-_MOST_SCALE = 30.0
+_MAX_SCALE_EXPONENT = 30.0
 #: By what the recent peak of sizes falls with each offer: to a quarter after 128.
 _PEAK_DECAY = 0.99
 #: The largest fraction of the memory that is kept free for a recent peak, so that one
 #: huge request does not close the queue to others.
-_MOST_SPARE_PART = 0.25
+_MAX_SPARE_FRACTION = 0.25
 
 
 class Waiting(NamedTuple):
@@ -88,45 +88,45 @@
 _REFUSED = Offer(is_taken=False, displaced=None)
 
 
-class _Record:
+class _RecentOffer:
     """A recent offer of a priority."""
 
     __slots__ = ("group", "is_recent", "is_started", "tokens")
 
-    def __init__(self, tokens: float, group: _Group) -> None:
+    def __init__(self, tokens: float, group: _SizeGroup) -> None:
         self.tokens = tokens
         self.group = group
         self.is_recent = True
         self.is_started = False
 
 
-class _Place(NamedTuple):
+class _Entry(NamedTuple):
     """Where a request waits."""
 
-    one: Waiting
+    request: Waiting
     number: int
-    record: _Record
+    record: _RecentOffer
 
 
-class _Group:
+class _SizeGroup:
     """The large or the small requests of one priority, in the order of their limits."""
 
     __slots__ = ("entries", "offered", "started")
 
     def __init__(self) -> None:
         #: Limit, number of the offer, place; sorted.
-        self.entries: list[tuple[float, int, _Place]] = []
+        self.entries: list[tuple[float, int, _Entry]] = []
         #: How many of the recent offers were of this group, and started.
         self.offered = 0
         self.started = 0
 
-    def first(self, now_s: float) -> int:
+    def first_index(self, now_s: float) -> int:
         """Return the index of the first request that is not past its limit."""
         if not self.entries or self.entries[0][0] >= now_s:
             return 0
         return bisect.bisect_left(self.entries, (now_s,))
 
-    def served(self, more: int = 0) -> float:
+    def served_fraction(self, more: int = 0) -> float:
         """Return the part of recent offers that is started after some more starts.
 
         Half a start is added (Webster's method), which favours neither group.
@@ -134,7 +134,7 @@
         return (self.started + more + 0.5) / max(1, self.offered)
 
 
-class _Lane:
+class _PriorityQueue:
     """The requests of one priority."""
 
     __slots__ = (
@@ -147,21 +147,21 @@
     )
 
     def __init__(self) -> None:
-        self.small = _Group()
-        self.large = _Group()
-        self.recent: collections.deque[_Record] = collections.deque()
+        self.small = _SizeGroup()
+        self.large = _SizeGroup()
+        self.recent: collections.deque[_RecentOffer] = collections.deque()
         self.sorted_tokens: list[float] = []
         #: How many requests wait, those past their limits included.
         self.waiting = 0
         #: Recent starts per second, times the scale of the queue.
         self.scaled_rate = 0.0
 
-    def classify(self, tokens: float) -> _Record:
+    def classify(self, tokens: float) -> _RecentOffer:
         """Count an offer, and return it with the group that it belongs to."""
         count = len(self.recent)
         is_large = (
-            count >= _LEAST_OFFERS
-            and tokens > self.sorted_tokens[math.ceil(_SMALL_PART * count) - 1]
+            count >= _MIN_OFFERS
+            and tokens > self.sorted_tokens[math.ceil(_SMALL_FRACTION * count) - 1]
         )
         if count == _RECENT_OFFERS:
             old = self.recent.popleft()
@@ -169,41 +169,41 @@
             old.group.offered -= 1
             old.group.started -= old.is_started
             del self.sorted_tokens[bisect.bisect_left(self.sorted_tokens, old.tokens)]
-        record = _Record(tokens, self.large if is_large else self.small)
+        record = _RecentOffer(tokens, self.large if is_large else self.small)
         record.group.offered += 1
         self.recent.append(record)
         bisect.insort(self.sorted_tokens, tokens)
         return record
 
-    def ahead(self, group: _Group, limit_s: float, now_s: float) -> int:
+    def count_ahead(self, group: _SizeGroup, limit_s: float, now_s: float) -> int:
         """Return how many requests start before a new one of a group."""
         rank = bisect.bisect_right(group.entries, (limit_s, math.inf))
-        rank = max(0, rank - group.first(now_s))
+        rank = max(0, rank - group.first_index(now_s))
         other = self.small if group is self.large else self.large
-        waiting = len(other.entries) - other.first(now_s)
+        waiting = len(other.entries) - other.first_index(now_s)
         # The other group starts until the served parts are even.
-        lead = group.served(rank) - other.served()
+        lead = group.served_fraction(rank) - other.served_fraction()
         return rank + min(waiting, max(0, math.ceil(lead * max(1, other.offered))))
 
-    def live(self, now_s: float) -> int:
+    def count_unexpired(self, now_s: float) -> int:
         """Return how many requests are not past their limits."""
         groups = (self.small, self.large)
-        return sum(len(one.entries) - one.first(now_s) for one in groups)
+        return sum(len(one.entries) - one.first_index(now_s) for one in groups)
 
-    def first(self, now_s: float) -> _Place | None:
+    def next_entry(self, now_s: float) -> _Entry | None:
         """Return the place of the request to start now."""
-        chosen: tuple[float, float, int, _Place] | None = None
+        chosen: tuple[float, float, int, _Entry] | None = None
         for group in (self.small, self.large):
-            index = group.first(now_s)
+            index = group.first_index(now_s)
             if index < len(group.entries):
                 limit_s, number, place = group.entries[index]
-                rank = (group.served(), limit_s, number, place)
+                rank = (group.served_fraction(), limit_s, number, place)
                 chosen = rank if chosen is None else min(chosen, rank)
         return chosen[3] if chosen is not None else None
 
-    def start(self, now_s: float) -> Waiting | None:
+    def start_next(self, now_s: float) -> Waiting | None:
         """Choose the request to start now, and count it in its group."""
-        place = self.first(now_s)
+        place = self.next_entry(now_s)
         if place is None:
             return None
         one, _, record = place
@@ -211,10 +211,10 @@
         record.group.started += record.is_recent
         return one
 
-    def last(self) -> Waiting:
+    def last_request(self) -> Waiting:
         """Return the request with the latest limit."""
         groups = (self.small.entries, self.large.entries)
-        return max(one[-1] for one in groups if one)[2].one
+        return max(one[-1] for one in groups if one)[2].request
 
 
 class StartQueue:
@@ -235,22 +235,22 @@
 
     def __init__(self, *, most_requests: int, most_bytes: int) -> None:
         self._set_bounds(most_requests, most_bytes)
-        self._lanes: dict[int, _Lane] = {}
+        self._queues: dict[int, _PriorityQueue] = {}
         #: The priorities of the lanes, the most urgent first.
         self._priorities: list[int] = []
-        self._places: dict[str, _Place] = {}
+        self._entries: dict[str, _Entry] = {}
         #: When the requests were read, and the numbers of their offers; sorted.
-        self._reads: list[tuple[float, int]] = []
+        self._read_times: list[tuple[float, int]] = []
         #: Their limits, the numbers of their offers, and their ids; sorted.
         self._limits: list[tuple[float, int, str]] = []
         #: From when on the scale of rates grows.
-        self._scale_from_s = 0.0
+        self._scale_start_s = 0.0
         self._offers = 0
         self._size_bytes = 0
         self._peak_bytes = 0.0
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._entries)
 
     @property
     def size_bytes(self) -> int:
@@ -268,7 +268,7 @@
 
         .. versionadded:: 26.5.0
         """
-        return max(0.0, now_s - self._reads[0][0]) if self._reads else 0.0
+        return max(0.0, now_s - self._read_times[0][0]) if self._read_times else 0.0
 
     def offer(self, one: Waiting, *, starts_per_s: float, now_s: float) -> Offer:
         """Queue a request if it can start before its limit and there is memory for it.
@@ -283,29 +283,29 @@
 
         .. versionadded:: 26.5.0
         """
-        lane = self._lane(one.priority)
+        lane = self._queue_for(one.priority)
         record = lane.classify(one.tokens)
         self._peak_bytes = max(_PEAK_DECAY * self._peak_bytes, one.size_bytes)
-        if one.id in self._places:
+        if one.id in self._entries:
             return _REFUSED
         if not self._can_start(one, lane, record.group, starts_per_s, now_s):
             return _REFUSED
         displaced = None
         if not self._has_memory(one):
-            displaced = self._less_urgent(one.priority)
+            displaced = self._last_less_urgent(one.priority)
             if displaced is None:
                 return _REFUSED
             left_bytes = self._size_bytes - displaced.size_bytes
-            if left_bytes + one.size_bytes > self._most_bytes:
+            if left_bytes + one.size_bytes > self._max_bytes:
                 return _REFUSED
-            self._drop(displaced.id)
+            self._discard(displaced.id)
         self._offers += 1
-        place = _Place(one, self._offers, record)
+        place = _Entry(one, self._offers, record)
         bisect.insort(record.group.entries, (one.limit_s, place.number, place))
-        bisect.insort(self._reads, (one.read_s, place.number))
+        bisect.insort(self._read_times, (one.read_s, place.number))
         bisect.insort(self._limits, (one.limit_s, place.number, one.id))
         lane.waiting += 1
-        self._places[one.id] = place
+        self._entries[one.id] = place
         self._size_bytes += one.size_bytes
         return Offer(is_taken=True, displaced=displaced)
 
@@ -317,9 +317,9 @@
 
         .. versionadded:: 26.5.0
         """
-        lanes = (self._lanes[priority] for priority in self._priorities)
-        places = (lane.first(now_s) for lane in lanes if lane.waiting)
-        return [place.one for place in places if place is not None]
+        lanes = (self._queues[priority] for priority in self._priorities)
+        places = (lane.next_entry(now_s) for lane in lanes if lane.waiting)
+        return [place.request for place in places if place is not None]
 
     def next(self, *, now_s: float, priority: int | None = None) -> Waiting | None:
         """Take out the request to start now; None if there is none.
@@ -335,13 +335,13 @@
         for other in self._priorities:
             if priority is not None and other != priority:
                 continue
-            lane = self._lanes[other]
-            one = lane.start(now_s) if lane.waiting else None
+            lane = self._queues[other]
+            one = lane.start_next(now_s) if lane.waiting else None
             if one is not None:
-                self._drop(one.id)
+                self._discard(one.id)
                 # The scale first: it may start anew.
                 scale = self._scale(now_s)
-                lane.scaled_rate += scale / _RATE_S
+                lane.scaled_rate += scale / _RATE_TIME_CONSTANT_S
                 return one
         return None
 
@@ -359,9 +359,9 @@
         .. versionadded:: 26.5.0
         """
         count = bisect.bisect_left(self._limits, (now_s + EXPIRE_INTERVAL_S,))
-        expired = [self._places[entry[2]].one for entry in self._limits[:count]]
+        expired = [self._entries[entry[2]].request for entry in self._limits[:count]]
         for one in reversed(expired):
-            self._drop(one.id)
+            self._discard(one.id)
         return expired
 
     def remove(self, id: str) -> None:  # noqa: A002
@@ -372,8 +372,8 @@
 
         .. versionadded:: 26.5.0
         """
-        if id in self._places:
-            self._drop(id)
+        if id in self._entries:
+            self._discard(id)
 
     def resize(self, *, most_requests: int, most_bytes: int) -> list[Waiting]:
         """Change the bounds, and take out what no longer fits.
@@ -393,10 +393,10 @@
         self._set_bounds(most_requests, most_bytes)
         refused: list[Waiting] = []
         while len(self) > most_requests or self._size_bytes > most_bytes:
-            last = self._less_urgent(-1)
+            last = self._last_less_urgent(-1)
             if last is None:
                 break
-            self._drop(last.id)
+            self._discard(last.id)
             refused.append(last)
         return refused
 
@@ -404,24 +404,24 @@
         """Check and set the bounds."""
         if most_requests < 1 or most_bytes < 1:
             raise ValueError("a queue's bounds are at least 1")
-        self._most_requests = most_requests
-        self._most_bytes = most_bytes
+        self._max_requests = most_requests
+        self._max_bytes = most_bytes
 
-    def _lane(self, priority: int) -> _Lane:
+    def _queue_for(self, priority: int) -> _PriorityQueue:
         """Return the lane of a priority, made on its first use."""
-        lane = self._lanes.get(priority)
+        lane = self._queues.get(priority)
         if lane is None:
             if not 0 <= priority < PRIORITIES:
                 raise ValueError(f"priority {priority} is not within 0 to 99")
-            lane = self._lanes[priority] = _Lane()
+            lane = self._queues[priority] = _PriorityQueue()
             bisect.insort(self._priorities, priority)
         return lane
 
     def _can_start(
         self,
         one: Waiting,
-        lane: _Lane,
-        group: _Group,
+        lane: _PriorityQueue,
+        group: _SizeGroup,
         starts_per_s: float,
         now_s: float,
     ) -> bool:
@@ -434,7 +434,7 @@
         # The negation refuses a time that is not a number as well.
         if not (left_s >= 0.0 and starts_per_s > 0.0):
             return False
-        ahead = lane.ahead(group, one.limit_s, now_s)
+        ahead = lane.count_ahead(group, one.limit_s, now_s)
         scale = self._scale(now_s)
         scaled_rate = 0.0
         # Only after a pause do requests past their limits have to be left out.
@@ -442,9 +442,9 @@
         for priority in self._priorities:
             if priority >= one.priority:
                 break
-            urgent = self._lanes[priority]
+            urgent = self._queues[priority]
             scaled_rate += urgent.scaled_rate
-            ahead += urgent.live(now_s) if has_late else urgent.waiting
+            ahead += urgent.count_unexpired(now_s) if has_late else urgent.waiting
         left_per_s = starts_per_s - scaled_rate / scale
         return ahead <= left_s * max(0.0, left_per_s)
 
@@ -454,11 +454,11 @@
         The scale grows where rates would decay, so that a decision does not have to
         update the rate of each priority.
         """
-        passed = max(0.0, now_s - self._scale_from_s) / _RATE_S
-        if passed > _MOST_SCALE:
-            for lane in self._lanes.values():
+        passed = max(0.0, now_s - self._scale_start_s) / _RATE_TIME_CONSTANT_S
+        if passed > _MAX_SCALE_EXPONENT:
+            for lane in self._queues.values():
                 lane.scaled_rate *= math.exp(-passed)
-            self._scale_from_s = now_s
+            self._scale_start_s = now_s
             passed = 0.0
         return math.exp(passed)
 
@@ -468,28 +468,28 @@
         Room for a recent peak is kept free whatever the request's own size: small
         requests that fill each gap would keep large ones out.
         """
-        spare_bytes = min(self._peak_bytes, _MOST_SPARE_PART * self._most_bytes)
+        spare_bytes = min(self._peak_bytes, _MAX_SPARE_FRACTION * self._max_bytes)
         needed_bytes = max(one.size_bytes, spare_bytes)
         return (
-            len(self) < self._most_requests
-            and self._size_bytes + needed_bytes <= self._most_bytes
+            len(self) < self._max_requests
+            and self._size_bytes + needed_bytes <= self._max_bytes
         )
 
-    def _less_urgent(self, priority: int) -> Waiting | None:
+    def _last_less_urgent(self, priority: int) -> Waiting | None:
         """Return the last of the least urgent requests, if less urgent than given."""
         for other in reversed(self._priorities):
             if other <= priority:
                 break
-            if self._lanes[other].waiting:
-                return self._lanes[other].last()
+            if self._queues[other].waiting:
+                return self._queues[other].last_request()
         return None
 
-    def _drop(self, id: str) -> None:  # noqa: A002
+    def _discard(self, id: str) -> None:  # noqa: A002
         """Take out a request that waits."""
-        one, number, record = self._places.pop(id)
+        one, number, record = self._entries.pop(id)
         entries = record.group.entries
         del entries[bisect.bisect_left(entries, (one.limit_s, number))]
-        del self._reads[bisect.bisect_left(self._reads, (one.read_s, number))]
+        del self._read_times[bisect.bisect_left(self._read_times, (one.read_s, number))]
         del self._limits[bisect.bisect_left(self._limits, (one.limit_s, number))]
-        self._lanes[one.priority].waiting -= 1
+        self._queues[one.priority].waiting -= 1
         self._size_bytes -= one.size_bytes
--- a/src/violethatch/stream_loads.py
+++ b/src/violethatch/stream_loads.py
@@ -26,19 +26,19 @@
 
 
 #: Over how long crossings between zones are counted, in seconds.
-_PIPE_SPAN_S = 2.0
+_ZONE_LINK_WINDOW_S = 2.0
 _MS_PER_S = 1000.0
 #: Below this a runner's tokens times layers are what rounding has left over.
-_ROUNDING = 1e-6
+_ROUNDING_ERROR = 1e-6
 #: From how many waiting streams on, at least and for each running one, a first runner
 #: is full: fewer wait for their turn in its next passes.
 _MIN_QUEUE = 4
-_QUEUE_PART = 0.125
+_QUEUE_FRACTION = 0.125
 #: How long a first runner's report counts, in seconds; some requests' time.
-_REPORT_LIFE_S = 2.0
+_REPORT_TTL_S = 2.0
 _NO_STREAMS = ServerTotals(0, 0.0)
 #: How fast the usual time of a stream follows what is seen, per stream.
-_GAIN = 0.05
+_DURATION_GAIN = 0.05
 
 
 def _no_demand() -> Demand:
@@ -66,14 +66,14 @@
     def __init__(self) -> None:
         self.own_demand: Callable[[], Demand] = _no_demand
         self._own_token_layers: dict[str, float] = {}
-        self._own_by_first: dict[str, int] = {}
+        self._own_streams: dict[str, int] = {}
         #: When own streams crossed between zones, and for how long, in ms.
         self._crossings: collections.deque[tuple[float, float]] = collections.deque()
-        self._reports_by_first: dict[str, _Report] = {}
+        self._reports: dict[str, _Report] = {}
         self._others: LoadTotals = NOTHING
-        self._others_taken_s = 0.0
+        self._others_updated_s = 0.0
         #: How long own streams last, in seconds; None before one has ended.
-        self._stream_s: float | None = None
+        self._mean_stream_s: float | None = None
 
     @property
     def others(self) -> LoadTotals:
@@ -83,13 +83,13 @@
     def take_others(self, others: LoadTotals, *, now_s: float) -> None:
         """Take in what all other instances have."""
         self._others = others
-        self._others_taken_s = now_s
+        self._others_updated_s = now_s
 
     def others_age_s(self, *, now_s: float) -> float | None:
         """Return the age of the others' sum in seconds, or None without any."""
         if not self._others.instances:
             return None
-        return self._others.age_s + now_s - self._others_taken_s
+        return self._others.age_s + now_s - self._others_updated_s
 
     def mean_of_others(self) -> float | None:
         """Return the streams of each other instance on average, if they are known."""
@@ -100,21 +100,21 @@
 
     def lasted(self, stream_s: float) -> None:
         """Take in how long a stream of this instance has lasted, in seconds."""
-        if self._stream_s is None:
-            self._stream_s = stream_s
-        self._stream_s += _GAIN * (stream_s - self._stream_s)
+        if self._mean_stream_s is None:
+            self._mean_stream_s = stream_s
+        self._mean_stream_s += _DURATION_GAIN * (stream_s - self._mean_stream_s)
 
     def own_totals(self, *, now_s: float) -> LoadTotals:
         """Return what this instance has itself."""
         servers = {
             server_number(server_id): ServerTotals(
-                self._own_by_first.get(server_id, 0), token_layers
+                self._own_streams.get(server_id, 0), token_layers
             )
             for server_id, token_layers in self._own_token_layers.items()
         }
         return LoadTotals(
             instances=1,
-            pipe_ms_per_s=self._own_pipe_ms_per_s(now_s=now_s),
+            pipe_ms_per_s=self._own_zone_link_ms_per_s(now_s=now_s),
             servers=servers,
             demand=self.own_demand(),
         )
@@ -132,24 +132,24 @@
         """
         self._crossings.extend([(now_s, crossing_ms)] * path.zone_hops)
         first_id = path.first.id
-        self._own_by_first[first_id] = self._own_by_first.get(first_id, 0) + 1
+        self._own_streams[first_id] = self._own_streams.get(first_id, 0) + 1
         for stage in path.stages:
             self._add(stage, tokens)
 
     def ended(self, path: Path, tokens: float) -> None:
         """Count a stream out again."""
         first_id = path.first.id
-        own = self._own_by_first.get(first_id, 0) - 1
+        own = self._own_streams.get(first_id, 0) - 1
         if own > 0:
-            self._own_by_first[first_id] = own
+            self._own_streams[first_id] = own
         else:
-            self._own_by_first.pop(first_id, None)
+            self._own_streams.pop(first_id, None)
         for stage in path.stages:
             self._add(stage, -tokens)
 
     def record_report(self, first_id: str, load: ServerLoad, *, now_s: float) -> None:
         """Take in what a first runner reports of the streams it has from all."""
-        self._reports_by_first[first_id] = _Report(load, now_s)
+        self._reports[first_id] = _Report(load, now_s)
 
     def fullness_of(self, layer_map: LayerMap, *, now_s: float) -> dict[str, float]:
         """Return, by runner, how full it is."""
@@ -166,8 +166,10 @@
         Its room is its KV cache, and its slots for streams that begin there.
         """
         known = self.totals_at(server.id, now_s=now_s)
-        slots_taken = self._slots_taken(server, known.streams, now_s=now_s)
-        return max(slots_taken, _kv_cache_taken(server, engine, known.token_layers))
+        slots_taken = self._slot_utilization(server, known.streams, now_s=now_s)
+        return max(
+            slots_taken, _kv_cache_utilization(server, engine, known.token_layers)
+        )
 
     def slots_taken(self, server: BackendServer, *, now_s: float) -> float:
         """Return the part of a runner's slots that streams which begin there take.
@@ -176,36 +178,36 @@
         is all that it has room for.
         """
         known = self.totals_at(server.id, now_s=now_s)
-        return self._slots_taken(server, known.streams, now_s=now_s)
+        return self._slot_utilization(server, known.streams, now_s=now_s)
 
-    def _slots_taken(
+    def _slot_utilization(
         self, server: BackendServer, streams: int, *, now_s: float
     ) -> float:
         """Return the part of a runner's slots that some known streams take."""
         slots = max(1, server.slots)
-        report = self._reports_by_first.get(server.id)
-        if report is None or now_s - report.received_s >= _REPORT_LIFE_S:
+        report = self._reports.get(server.id)
+        if report is None or now_s - report.received_s >= _REPORT_TTL_S:
             return streams / slots
         running, waiting = report.load.running, report.load.waiting
         taken = max(streams, running + waiting) / slots
-        if waiting < max(_MIN_QUEUE, _QUEUE_PART * running):
+        if waiting < max(_MIN_QUEUE, _QUEUE_FRACTION * running):
             return taken
         return max(taken, 1.0 + waiting / max(1, running))
 
     def forget(self, server_id: str) -> None:
         """Forget a runner that is no longer listed."""
-        self._reports_by_first.pop(server_id, None)
+        self._reports.pop(server_id, None)
 
     def pipe_fullness(self, *, now_s: float) -> float:
         """Return the part of the time that the pipe between zones is taken."""
-        own_ms_per_s = self._own_pipe_ms_per_s(now_s=now_s)
+        own_ms_per_s = self._own_zone_link_ms_per_s(now_s=now_s)
         return (own_ms_per_s + self._others.pipe_ms_per_s) / _MS_PER_S
 
-    def _own_pipe_ms_per_s(self, *, now_s: float) -> float:
+    def _own_zone_link_ms_per_s(self, *, now_s: float) -> float:
         """Return how long own streams take the pipe, in ms a second."""
-        while self._crossings and now_s - self._crossings[0][0] > _PIPE_SPAN_S:
+        while self._crossings and now_s - self._crossings[0][0] > _ZONE_LINK_WINDOW_S:
             self._crossings.popleft()
-        return sum(took_ms for _, took_ms in self._crossings) / _PIPE_SPAN_S
+        return sum(took_ms for _, took_ms in self._crossings) / _ZONE_LINK_WINDOW_S
 
     def totals_at(self, server_id: str, *, now_s: float) -> ServerTotals:
         """Return what all instances are thought to have at a server.
@@ -214,24 +216,24 @@
         news is old.
         """
         reported = self._others.servers.get(server_number(server_id), _NO_STREAMS)
-        left = self._part_left(now_s=now_s)
+        left = self._remaining_fraction(now_s=now_s)
         return ServerTotals(
-            round(left * reported.streams) + self._own_by_first.get(server_id, 0),
+            round(left * reported.streams) + self._own_streams.get(server_id, 0),
             left * reported.token_layers + self._own_token_layers.get(server_id, 0.0),
         )
 
-    def _part_left(self, *, now_s: float) -> float:
+    def _remaining_fraction(self, *, now_s: float) -> float:
         """Return the part of the others' streams that has not ended since the news."""
         age_s = self.others_age_s(now_s=now_s)
-        if age_s is None or not self._stream_s:
+        if age_s is None or not self._mean_stream_s:
             return 1.0
-        return math.exp(-age_s / self._stream_s)
+        return math.exp(-age_s / self._mean_stream_s)
 
     def _add(self, stage: Stage, tokens: float) -> None:
         """Add to a runner's tokens times layers."""
         added = tokens * stage.layers.size
         own = self._own_token_layers.get(stage.server.id, 0.0) + added
-        if own > _ROUNDING:
+        if own > _ROUNDING_ERROR:
             self._own_token_layers[stage.server.id] = own
         else:
             self._own_token_layers.pop(stage.server.id, None)
@@ -246,7 +248,7 @@
     """
     tokens = streams * engine.usual_tokens
     added = {
-        stage.server.id: _kv_cache_taken(
+        stage.server.id: _kv_cache_utilization(
             stage.server, engine, tokens * stage.layers.size
         )
         for stage in path.stages
@@ -256,7 +258,7 @@
     return added
 
 
-def _kv_cache_taken(
+def _kv_cache_utilization(
     server: BackendServer, engine: EngineSpec, token_layers: float
 ) -> float:
     """Return the part of a runner's KV cache that is taken."""
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -63,7 +63,7 @@
 
     def keepers(self, of=WORK):
         """Return the ids of a work's keepers in the first zone."""
-        return [one.id for one in self.links[self.zone[0]]._keepers(of)]
+        return [one.id for one in self.links[self.zone[0]]._holders(of)]
 
     def rest(self, of=WORK):
         """Return the others of that zone."""
@@ -121,7 +121,7 @@
                     claim = await zones.links[rng.choice(zones.zone)].claim(of)
                     assert claim.outcome is outcome
                     await asyncio.sleep(0.005)
-            assert not any(one._asked for one in zones.links.values())
+            assert not any(one._pending for one in zones.links.values())
 
         play(part)
 
@@ -219,7 +219,7 @@
                 receive(data, to)
             await asyncio.sleep(0.1)
             assert late
-            assert link._asked == {}
+            assert link._pending == {}
             assert (await link.claim(WORK)).outcome is UNKNOWN
 
         play(part)
@@ -333,13 +333,13 @@
             )
             zones.cut(*zones.keepers(of))
             link = zones.links[zones.zone[0]]
-            most = _return_link._MOST_ASKED
+            most = _return_link._MAX_PENDING_CLAIMS
             claims = [asyncio.ensure_future(link.claim(of)) for _ in range(2 * most)]
             await asyncio.sleep(0.01)
-            assert len(link._asked) == most
+            assert len(link._pending) == most
             assert sum(one.done() for one in claims) == most
             await asyncio.gather(*claims)
-            assert link._asked == {}
+            assert link._pending == {}
 
         play(part)
 
@@ -349,12 +349,12 @@
         async def part():
             zones = Zones(24)
             one, other = zones.zone[:2]
-            for number in range(3 * _return_link._MOST_ANSWERS):
+            for number in range(3 * _return_link._MAX_CACHED_RESULTS):
                 token = zones.own[other].token
                 zones.send(one, other, ClaimDatagram(token, one, number, WORK))
             await asyncio.sleep(0.1)
             link = zones.links[other]
-            assert len(link._answers) == _return_link._MOST_ANSWERS
+            assert len(link._results) == _return_link._MAX_CACHED_RESULTS
 
         play(part)
 
@@ -366,10 +366,10 @@
             link = zones.links[zones.rest()[0]]
             claim = asyncio.ensure_future(link.claim(WORK))
             await asyncio.sleep(0.0)
-            assert link._asked
+            assert link._pending
             claim.cancel()
             await asyncio.sleep(0.05)
-            assert link._asked == {}
+            assert link._pending == {}
 
         play(part)
 
@@ -389,7 +389,7 @@
             await asyncio.sleep(3.0)
             zones.send(asker, keeper, ClaimDatagram(token, asker, 1, WORK))
             await asyncio.sleep(0.01)
-            assert zones.links[keeper]._answers == {}
+            assert zones.links[keeper]._results == {}
 
         play(part)
 
@@ -403,7 +403,7 @@
             link = zones.links[asker]
             claim = asyncio.ensure_future(link.claim(WORK))
             await asyncio.sleep(0.0)
-            (number,) = link._asked
+            (number,) = link._pending
             token = zones.own[asker].token
             zones.send(liar, asker, ClaimedDatagram(token, liar, number, DUE, 0))
             assert (await claim).outcome is UNKNOWN
@@ -458,7 +458,7 @@
             link = zones.links["i0"]
             zones.datagrams["i0"].datagram_received(data, None)
             assert link.kept() == 0
-            assert link._answers == {}
+            assert link._results == {}
             zones.send("i3", "i0", ReservedDatagram("t0", "i3", WORK, 100))
             await asyncio.sleep(0.01)
             assert link.kept() == 1
@@ -472,7 +472,7 @@
 
         The time for answers is tested in virtual time; here the machine may be busy.
         """
-        monkeypatch.setattr(_return_link, "_ANSWER_S", 1.0)
+        monkeypatch.setattr(_return_link, "_RESPONSE_TIMEOUT_S", 1.0)
         entries = {
             f"i{n}": one._replace(address=f"127.0.0.1:{port}")
             for (n, port), one in zip(
@@ -486,7 +486,7 @@
             sockets[own.id] = PeerDatagrams(directory)
             await sockets[own.id].start(own.address)
             links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
-        keepers = [one.id for one in links["i0"]._keepers(WORK)]
+        keepers = [one.id for one in links["i0"]._holders(WORK)]
         first, second = (one for one in links if one not in keepers)
         slot = links[first].slot("chat", WORK, 0, starts_per_s=40.0, most_s=3.0)
         async with asyncio.timeout(5):
