--- a/src/violethatch/_return_link.py
+++ b/src/violethatch/_return_link.py
@@ -1,13 +1,15 @@
 # SPDX-License-Identifier: MIT
-"""Keeps reservations of refused callers where their retries find them.
+"""Replicates reservations of starts to two instances, and claims them for retries.
 
-Load pattern: hundreds of callers are refused within a second, and each retries at any
-instance of its zone.  Instances are killed or paused meanwhile, and datagrams are lost.
+Load pattern: hundreds of requests are rejected within a second, and each is retried at
+any instance of its availability zone.  Instances may be killed or paused meanwhile, and
+datagrams may be lost.
 
-The work's id selects two instances of the zone, the keepers, by the list of instances:
-nothing has to be agreed.  Whoever refuses notifies both, and whoever gets the retry
-asks both.  The first that finds the reservation due decides, so that one of them may
-be gone; two retries that reach the keepers in opposite order start twice at most.
+Two instances of the zone store a reservation; rendezvous hashing selects them by work
+id from the list of instances, without coordination.  The rejecting instance sends the
+reservation to both, and the instance that receives the retry sends a claim to both.
+The first result that is due wins, so that one replica may be unavailable.  Two retries
+that reach the replicas in opposite order result in two starts at most.
 """
 
 from __future__ import annotations
@@ -40,28 +42,28 @@
 from .work_ids import check_work_id
 
 
-#: How many instances keep a reservation: one of them may be gone.
+#: The instances that store a reservation: one of them may be unavailable.
 _REPLICAS = 2
-#: How long answers are waited for, in seconds: a way there and back within a zone, and
-#: the time that small instances are late by.  The request waits for it.
+#: The timeout for results of a claim, in seconds: a round trip within a zone plus the
+#: scheduling delay of small instances.  The request waits for it.
 _RESPONSE_TIMEOUT_S = 0.03
-#: The most claims that wait for answers; further ones are unknown at once.
+#: The maximum number of claims in flight; further ones are unknown immediately.
 _MAX_PENDING_CLAIMS = 256
-#: The answers that are remembered, so that a question that comes twice has the same
-#: answer twice: as many as can be on their way from a few instances.
+#: The cached results, so that a duplicate datagram of a claim gets the same result: as
+#: many claims as can be in flight from a few instances.
 _MAX_CACHED_RESULTS = 1024
 _MS_PER_S = 1000
 
 
 class _Zone(NamedTuple):
-    """The instances of the own zone, of one revision of the list."""
+    """The instances of the own zone, at one revision of the list."""
 
     revision: int
     entries: dict[str, InstanceEntry]
 
 
 class _PendingClaim(NamedTuple):
-    """A claim: who has not answered yet, the best answer so far, and who waits."""
+    """A claim in flight: the replicas awaited, the results, and the final result."""
 
     awaited_ids: set[str]
     results: list[Claim]
@@ -69,11 +71,11 @@
 
 
 class ReturnLink:
-    """Reserves starts for refused callers, and claims them for their retries.
+    """Reserves starts for rejected requests, and claims them for their retries.
 
     Args:
         datagrams: Carries reservations and claims.
-        rng: Draws the phases of starts, and numbers the questions.
+        rng: Draws the phases of starts, and the number of the first claim.
     """
 
     def __init__(self, datagrams: PeerDatagrams, *, rng: random.Random) -> None:
@@ -84,7 +86,7 @@
         self._slots: dict[str, ReturnSlots] = {}
         self._reservations = ReservedStarts()
         self._pending: dict[int, _PendingClaim] = {}
-        #: By instance and number, what its question was answered.
+        #: The result of a claim by sender and number.
         self._results: dict[tuple[str, int], Claim] = {}
         self._zone = _Zone(-1, {})
         datagrams.on(ReservedDatagram, self._on_reservation)
@@ -100,14 +102,14 @@
         starts_per_s: float,
         most_s: float,
     ) -> Slot:
-        """Reserve a start for a refused caller, and notify the keepers.
+        """Reserve a start for a rejected request, and send it to the replicas.
 
         Args:
-            service: What the caller wants.
+            service: The requested service.
             work: The work's id.
-            priority: The caller's; lower numbers are more urgent.
-            starts_per_s: The room's starts per second, divided by the instances.
-            most_s: The latest retry, in seconds from now.
+            priority: The request's priority; lower numbers are more urgent.
+            starts_per_s: The starts per second of the capacity, per instance.
+            most_s: The maximum retry delay, in seconds.
         """
         slots = self._slots.get(service)
         if slots is None:
@@ -117,90 +119,90 @@
             priority, starts_per_s=starts_per_s, most_s=most_s, now_s=now_s
         )
         if slot.is_reserved:
-            self._store(work, slot.at_s, now_s=now_s)
+            self._replicate(work, slot.at_s, now_s=now_s)
         return slot
 
     async def claim(self, work: str) -> Claim:
-        """Claim a work's reservation at both keepers; unknown if none answers.
+        """Claim a reservation at both replicas; unknown if neither responds.
 
         Args:
             work: The work's id.
         """
         if len(self._pending) >= _MAX_PENDING_CLAIMS:
             return UNKNOWN
-        known = UNKNOWN
+        local = UNKNOWN
         own_id = self._directory.own.id
-        keepers = self._holders(work)
-        if any(one.id == own_id for one in keepers):
-            known = self._reservations.claim(work, now_s=clocks.now_s())
-        peers = [one for one in keepers if one.id != own_id]
+        replicas = self._replicas(work)
+        if any(entry.id == own_id for entry in replicas):
+            local = self._reservations.claim(work, now_s=clocks.now_s())
+        peers = [entry for entry in replicas if entry.id != own_id]
         if not peers or not self._datagrams.is_open:
-            return known
+            return local
         number = next(self._numbers)
         for peer in peers:
             message = ClaimDatagram(peer.token, own_id, number, work)
             self._datagrams.send(peer, message)
-        if known.outcome is ClaimOutcome.DUE:
-            return known  # the other keeper uses it up as well
-        return await self._await_result(number, peers, known)
+        if local.outcome is ClaimOutcome.DUE:
+            return local  # the other replica consumes its copy as well
+        return await self._await_result(number, peers, local)
 
     def reserved(self, service: str) -> int:
-        """Return how many reservations made here are not yet due.
+        """Return the number of own reservations that are not yet due.
 
         Args:
-            service: What they are for.
+            service: The service of the reservations.
         """
         slots = self._slots.get(service)
         return slots.reserved(now_s=clocks.now_s()) if slots else 0
 
     def kept(self) -> int:
-        """Return how many reservations kept here can still be claimed."""
+        """Return the number of stored reservations that can still be claimed."""
         return self._reservations.reserved(now_s=clocks.now_s())
 
-    def _holders(self, work: str) -> Sequence[InstanceEntry]:
-        """Return who keeps a work's reservation."""
+    def _replicas(self, work: str) -> Sequence[InstanceEntry]:
+        """Return the instances that store the reservation of a work."""
         if self._zone.revision != self._directory.revision:
             own = self._directory.own
             entries = {
-                one.id: one
-                for one in self._directory.others()
-                if one.availability_zone == own.availability_zone
+                entry.id: entry
+                for entry in self._directory.others()
+                if entry.availability_zone == own.availability_zone
             }
             self._zone = _Zone(self._directory.revision, entries | {own.id: own})
         entries = self._zone.entries
-        return [entries[one] for one in rendezvous(work, entries, count=_REPLICAS)]
+        return [entries[id_] for id_ in rendezvous(work, entries, count=_REPLICAS)]
 
-    def _store(self, work: str, at_s: float, *, now_s: float) -> None:
-        """Have a reservation kept."""
+    def _replicate(self, work: str, at_s: float, *, now_s: float) -> None:
+        """Store a reservation at its replicas."""
         own_id = self._directory.own.id
         left_ms = min(LONGEST_LEFT_MS, max(0, round((at_s - now_s) * _MS_PER_S)))
-        for keeper in self._holders(work):
-            if keeper.id == own_id:
+        for replica in self._replicas(work):
+            if replica.id == own_id:
                 self._reservations.keep(work, at_s, now_s=now_s)
             else:
-                message = ReservedDatagram(keeper.token, own_id, work, left_ms)
-                self._datagrams.send(keeper, message)
+                message = ReservedDatagram(replica.token, own_id, work, left_ms)
+                self._datagrams.send(replica, message)
 
     async def _await_result(
-        self, number: int, peers: Sequence[InstanceEntry], known: Claim
+        self, number: int, peers: Sequence[InstanceEntry], local: Claim
     ) -> Claim:
-        """Return the best answer that comes in time."""
-        answer: asyncio.Future[Claim] = asyncio.get_running_loop().create_future()
-        question = _PendingClaim({one.id for one in peers}, [known], answer)
-        self._pending[number] = question
+        """Return the best result received before the timeout."""
+        future: asyncio.Future[Claim] = asyncio.get_running_loop().create_future()
+        pending = _PendingClaim({entry.id for entry in peers}, [local], future)
+        self._pending[number] = pending
         try:
             async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
-                return await answer
+                return await future
         except TimeoutError:
-            return _best_result(question.results)
+            return _best_result(pending.results)
         finally:
             del self._pending[number]
 
     def _on_reservation(self, message: ReservedDatagram) -> None:
-        """Keep a reservation that another instance has made.
+        """Store a reservation made by another instance.
 
         Raises:
-            ValueError: It names no work.
+            ValueError: The work id is malformed.
         """
         check_work_id(message.work)
         now_s = clocks.now_s()
@@ -208,16 +210,16 @@
         self._reservations.keep(message.work, at_s, now_s=now_s)
 
     def _on_claim(self, message: ClaimDatagram) -> None:
-        """Answer a claim, the same if it comes twice.
+        """Handle a claim; a duplicate gets the same result.
 
         Raises:
-            ValueError: It names no work.
+            ValueError: The work id is malformed.
         """
         check_work_id(message.work)
-        self._holders(message.work)
-        asker = self._zone.entries.get(message.sender)
-        if asker is None:
-            return  # its entry is not known here yet; nothing is used up
+        self._replicas(message.work)
+        sender = self._zone.entries.get(message.sender)
+        if sender is None:
+            return  # its entry has not been received yet; no reservation is consumed
         key = (message.sender, message.number)
         claim = self._results.get(key)
         if claim is None:
@@ -225,29 +227,29 @@
             self._results[key] = claim
             if len(self._results) > _MAX_CACHED_RESULTS:
                 del self._results[next(iter(self._results))]
-        answer = ClaimedDatagram(
-            token=asker.token,
+        response = ClaimedDatagram(
+            token=sender.token,
             sender=self._directory.own.id,
             number=message.number,
             outcome=claim.outcome,
             left_ms=min(LONGEST_LEFT_MS, round(claim.left_s * _MS_PER_S)),
         )
-        self._datagrams.send(asker, answer)
+        self._datagrams.send(sender, response)
 
     def _on_result(self, message: ClaimedDatagram) -> None:
-        """Take an answer in, once from each who was asked."""
-        question = self._pending.get(message.number)
-        if question is None or message.sender not in question.awaited_ids:
-            return  # too late, or a datagram that came twice
-        question.awaited_ids.discard(message.sender)
-        question.results.append(Claim(message.outcome, message.left_ms / _MS_PER_S))
+        """Handle a result, once per awaited replica."""
+        pending = self._pending.get(message.number)
+        if pending is None or message.sender not in pending.awaited_ids:
+            return  # after the timeout, or a duplicate datagram
+        pending.awaited_ids.discard(message.sender)
+        pending.results.append(Claim(message.outcome, message.left_ms / _MS_PER_S))
         is_due = message.outcome is ClaimOutcome.DUE
-        if (is_due or not question.awaited_ids) and not question.best_result.done():
-            question.best_result.set_result(_best_result(question.results))
+        if (is_due or not pending.awaited_ids) and not pending.best_result.done():
+            pending.best_result.set_result(_best_result(pending.results))
 
 
 def _best_result(claims: Sequence[Claim]) -> Claim:
-    """Return the answer that counts: a due one, else an early one, else unknown."""
+    """Return a due result, else an early one, else unknown."""
     for outcome in (ClaimOutcome.DUE, ClaimOutcome.EARLY):
         for claim in claims:
             if claim.outcome is outcome:
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -63,7 +63,7 @@
 
     def keepers(self, of=WORK):
         """Return the ids of a work's keepers in the first zone."""
-        return [one.id for one in self.links[self.zone[0]]._holders(of)]
+        return [one.id for one in self.links[self.zone[0]]._replicas(of)]
 
     def rest(self, of=WORK):
         """Return the others of that zone."""
@@ -486,7 +486,7 @@
             sockets[own.id] = PeerDatagrams(directory)
             await sockets[own.id].start(own.address)
             links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
-        keepers = [one.id for one in links["i0"]._holders(WORK)]
+        keepers = [one.id for one in links["i0"]._replicas(WORK)]
         first, second = (one for one in links if one not in keepers)
         slot = links[first].slot("chat", WORK, 0, starts_per_s=40.0, most_s=3.0)
         async with asyncio.timeout(5):
