--- a/src/violethatch/stream_loads.py
+++ b/src/violethatch/stream_loads.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""How full runners are, as far as one instance can tell without asking.
+"""Estimates the utilization of runners without extra requests to them.
 
-An instance knows its own streams exactly.  What all others have comes as a sum
-from its neighbours (`load_sums`), some ticks old; and some services' runners tell
-with their answers how full they are, for nothing.  What says that a runner is
-fuller counts.
+An instance has exact counts of its own streams.  The streams of all other instances
+arrive as a sum from its neighbours (`load_sums`), some ticks old, and the runners of
+some services report their load in response headers.  The maximum of these estimates
+is used.
 
 .. versionadded:: 26.1.0
 """
@@ -25,29 +25,29 @@
 from .upstream import ServerLoad
 
 
-#: Over how long crossings between zones are counted, in seconds.
+#: The window over which transfers between zones are counted, in seconds.
 _ZONE_LINK_WINDOW_S = 2.0
 _MS_PER_S = 1000.0
-#: Below this a runner's tokens times layers are what rounding has left over.
+#: Smaller products of tokens and layers are rounding errors.
 _ROUNDING_ERROR = 1e-6
-#: From how many waiting streams on, at least and for each running one, a first runner
-#: is full: fewer wait for their turn in its next passes.
+#: The waiting streams from which on a first runner is full, as a minimum and as a
+#: fraction of its running streams: fewer are scheduled within its next iterations.
 _MIN_QUEUE = 4
 _QUEUE_FRACTION = 0.125
-#: How long a first runner's report counts, in seconds; some requests' time.
+#: How long a first runner's report is valid, in seconds: the time of a few requests.
 _REPORT_TTL_S = 2.0
 _NO_STREAMS = ServerTotals(0, 0.0)
-#: How fast the usual time of a stream follows what is seen, per stream.
+#: The gain of the moving average of stream durations, per stream.
 _DURATION_GAIN = 0.05
 
 
 def _no_demand() -> Demand:
-    """Return what is offered where no service is governed."""
+    """Return the demand without admission control."""
     return NO_DEMAND
 
 
 class _Report(NamedTuple):
-    """The load that a first runner has reported, and when it came."""
+    """The load reported by a first runner, and when it was received."""
 
     load: ServerLoad
     received_s: float
@@ -57,8 +57,8 @@
     """One instance's view of the streams on runners.
 
     Attributes:
-        own_demand: Returns what this instance is offered, of governed services, which
-            is sent to others with its totals.
+        own_demand: Returns the demand at this instance for services under admission
+            control, which is sent to other instances with the totals.
 
     .. versionadded:: 26.1.0
     """
@@ -67,45 +67,45 @@
         self.own_demand: Callable[[], Demand] = _no_demand
         self._own_token_layers: dict[str, float] = {}
         self._own_streams: dict[str, int] = {}
-        #: When own streams crossed between zones, and for how long, in ms.
+        #: Times and durations in ms of own transfers between zones.
         self._crossings: collections.deque[tuple[float, float]] = collections.deque()
         self._reports: dict[str, _Report] = {}
         self._others: LoadTotals = NOTHING
         self._others_updated_s = 0.0
-        #: How long own streams last, in seconds; None before one has ended.
+        #: The mean duration of own streams, in seconds; None until a stream has ended.
         self._mean_stream_s: float | None = None
 
     @property
     def others(self) -> LoadTotals:
-        """What all other instances have, as they last reported."""
+        """The last reported totals of all other instances."""
         return self._others
 
     def take_others(self, others: LoadTotals, *, now_s: float) -> None:
-        """Take in what all other instances have."""
+        """Update the totals of all other instances."""
         self._others = others
         self._others_updated_s = now_s
 
     def others_age_s(self, *, now_s: float) -> float | None:
-        """Return the age of the others' sum in seconds, or None without any."""
+        """Return the age of the others' totals in seconds; None without others."""
         if not self._others.instances:
             return None
         return self._others.age_s + now_s - self._others_updated_s
 
     def mean_of_others(self) -> float | None:
-        """Return the streams of each other instance on average, if they are known."""
+        """Return the mean number of streams per other instance; None without others."""
         if not self._others.instances:
             return None
-        streams = sum(one.streams for one in self._others.servers.values())
+        streams = sum(totals.streams for totals in self._others.servers.values())
         return streams / self._others.instances
 
     def lasted(self, stream_s: float) -> None:
-        """Take in how long a stream of this instance has lasted, in seconds."""
+        """Update the mean duration with an own stream's, in seconds."""
         if self._mean_stream_s is None:
             self._mean_stream_s = stream_s
         self._mean_stream_s += _DURATION_GAIN * (stream_s - self._mean_stream_s)
 
     def own_totals(self, *, now_s: float) -> LoadTotals:
-        """Return what this instance has itself."""
+        """Return the totals of this instance."""
         servers = {
             server_number(server_id): ServerTotals(
                 self._own_streams.get(server_id, 0), token_layers
@@ -122,12 +122,13 @@
     def started(
         self, path: Path, tokens: float, *, crossing_ms: float, now_s: float
     ) -> None:
-        """Count a stream in on each runner of its path.
+        """Add a stream to each runner of its path.
 
         Args:
             path: The runners.
-            tokens: The tokens whose KV cache it needs.
-            crossing_ms: How long it takes the pipe at each crossing, in ms.
+            tokens: The tokens that it holds in the KV cache.
+            crossing_ms: How long each of its transfers between zones occupies the
+                link, in ms.
             now_s: The current monotonic time, in seconds.
         """
         self._crossings.extend([(now_s, crossing_ms)] * path.zone_hops)
@@ -137,7 +138,7 @@
             self._add(stage, tokens)
 
     def ended(self, path: Path, tokens: float) -> None:
-        """Count a stream out again."""
+        """Remove a stream from each runner of its path."""
         first_id = path.first.id
         own = self._own_streams.get(first_id, 0) - 1
         if own > 0:
@@ -148,11 +149,11 @@
             self._add(stage, -tokens)
 
     def record_report(self, first_id: str, load: ServerLoad, *, now_s: float) -> None:
-        """Take in what a first runner reports of the streams it has from all."""
+        """Record the load that a first runner reports for all instances."""
         self._reports[first_id] = _Report(load, now_s)
 
     def fullness_of(self, layer_map: LayerMap, *, now_s: float) -> dict[str, float]:
-        """Return, by runner, how full it is."""
+        """Return the utilization by runner."""
         return {
             server_id: self.fullness(server, layer_map.engine, now_s=now_s)
             for server_id, server in layer_map.holders.items()
@@ -161,76 +162,77 @@
     def fullness(
         self, server: BackendServer, engine: EngineSpec, *, now_s: float
     ) -> float:
-        """Return the part of a runner's room that is thought to be taken.
+        """Return the estimated fraction of a runner's capacity that is in use.
 
-        Its room is its KV cache, and its slots for streams that begin there.
+        Its capacity is its KV cache, and its slots for streams that start there.
         """
-        known = self.totals_at(server.id, now_s=now_s)
-        slots_taken = self._slot_utilization(server, known.streams, now_s=now_s)
+        totals = self.totals_at(server.id, now_s=now_s)
+        used_slots = self._slot_utilization(server, totals.streams, now_s=now_s)
         return max(
-            slots_taken, _kv_cache_utilization(server, engine, known.token_layers)
+            used_slots, _kv_cache_utilization(server, engine, totals.token_layers)
         )
 
     def slots_taken(self, server: BackendServer, *, now_s: float) -> float:
-        """Return the part of a runner's slots that streams which begin there take.
+        """Return the fraction of a runner's slots in use by streams that start there.
 
-        Above 1 where streams wait there, for a slot or for memory: then what it runs
-        is all that it has room for.
+        It is above 1 while streams wait at the runner for a slot or for memory: the
+        running streams are then its full capacity.
         """
-        known = self.totals_at(server.id, now_s=now_s)
-        return self._slot_utilization(server, known.streams, now_s=now_s)
+        totals = self.totals_at(server.id, now_s=now_s)
+        return self._slot_utilization(server, totals.streams, now_s=now_s)
 
     def _slot_utilization(
         self, server: BackendServer, streams: int, *, now_s: float
     ) -> float:
-        """Return the part of a runner's slots that some known streams take."""
+        """Return the fraction of a runner's slots in use, at least by *streams*."""
         slots = max(1, server.slots)
         report = self._reports.get(server.id)
         if report is None or now_s - report.received_s >= _REPORT_TTL_S:
             return streams / slots
         running, waiting = report.load.running, report.load.waiting
-        taken = max(streams, running + waiting) / slots
+        used = max(streams, running + waiting) / slots
         if waiting < max(_MIN_QUEUE, _QUEUE_FRACTION * running):
-            return taken
-        return max(taken, 1.0 + waiting / max(1, running))
+            return used
+        return max(used, 1.0 + waiting / max(1, running))
 
     def forget(self, server_id: str) -> None:
-        """Forget a runner that is no longer listed."""
+        """Discard the report of a runner that is no longer listed."""
         self._reports.pop(server_id, None)
 
     def pipe_fullness(self, *, now_s: float) -> float:
-        """Return the part of the time that the pipe between zones is taken."""
+        """Return the fraction of time that the link between zones is in use."""
         own_ms_per_s = self._own_zone_link_ms_per_s(now_s=now_s)
         return (own_ms_per_s + self._others.pipe_ms_per_s) / _MS_PER_S
 
     def _own_zone_link_ms_per_s(self, *, now_s: float) -> float:
-        """Return how long own streams take the pipe, in ms a second."""
+        """Return how long own streams occupy the link between zones, in ms/s."""
         while self._crossings and now_s - self._crossings[0][0] > _ZONE_LINK_WINDOW_S:
             self._crossings.popleft()
-        return sum(took_ms for _, took_ms in self._crossings) / _ZONE_LINK_WINDOW_S
+        return sum(used_ms for _, used_ms in self._crossings) / _ZONE_LINK_WINDOW_S
 
     def totals_at(self, server_id: str, *, now_s: float) -> ServerTotals:
-        """Return what all instances are thought to have at a server.
+        """Return the estimated totals of all instances at a server.
 
-        Of the others' streams those have ended since that last about as long as the
-        news is old.
+        The others' streams are reduced by the fraction that has probably ended since
+        the report.
         """
         reported = self._others.servers.get(server_number(server_id), _NO_STREAMS)
-        left = self._remaining_fraction(now_s=now_s)
+        remaining = self._remaining_fraction(now_s=now_s)
         return ServerTotals(
-            round(left * reported.streams) + self._own_streams.get(server_id, 0),
-            left * reported.token_layers + self._own_token_layers.get(server_id, 0.0),
+            round(remaining * reported.streams) + self._own_streams.get(server_id, 0),
+            remaining * reported.token_layers
+            + self._own_token_layers.get(server_id, 0.0),
         )
 
     def _remaining_fraction(self, *, now_s: float) -> float:
-        """Return the part of the others' streams that has not ended since the news."""
+        """Return the fraction of the others' streams still running since the report."""
         age_s = self.others_age_s(now_s=now_s)
         if age_s is None or not self._mean_stream_s:
             return 1.0
         return math.exp(-age_s / self._mean_stream_s)
 
     def _add(self, stage: Stage, tokens: float) -> None:
-        """Add to a runner's tokens times layers."""
+        """Add to the product of tokens and layers at a runner."""
         added = tokens * stage.layers.size
         own = self._own_token_layers.get(stage.server.id, 0.0) + added
         if own > _ROUNDING_ERROR:
@@ -242,7 +244,7 @@
 def fullness_added(
     path: Path, engine: EngineSpec, *, streams: float
 ) -> dict[str, float]:
-    """Return, by runner, how much fuller some usual streams make a path's runners.
+    """Return the utilization that typical streams add to the runners of a path.
 
     .. versionadded:: 26.2.0
     """
@@ -253,18 +255,18 @@
         )
         for stage in path.stages
     }
-    slots_taken = streams / max(1, path.first.slots)
-    added[path.first.id] = max(added[path.first.id], slots_taken)
+    used_slots = streams / max(1, path.first.slots)
+    added[path.first.id] = max(added[path.first.id], used_slots)
     return added
 
 
 def _kv_cache_utilization(
     server: BackendServer, engine: EngineSpec, token_layers: float
 ) -> float:
-    """Return the part of a runner's KV cache that is taken."""
+    """Return the fraction of a runner's KV cache that is in use."""
     kind = engine.kinds.get(server.kind)
     if not token_layers or server.layers is None or kind is None:
         return 0.0
     size = server.layers.size
-    room = engine.kv_capacity_tokens(kind, size) * size
-    return token_layers / max(room, 1.0)
+    capacity = engine.kv_capacity_tokens(kind, size) * size
+    return token_layers / max(capacity, 1.0)
