--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Reservations that two instances keep, and the retries that claim them."""
+"""Replicated reservations of starts, and the retries that claim them."""
 
 from __future__ import annotations
 
@@ -26,129 +26,129 @@
 
 
 WORK = "0" * 31 + "1"
-#: How long a claim takes at the most, in seconds.
-ANSWER_S = 0.03
+#: The maximum duration of a claim, in seconds.
+CLAIM_TIMEOUT_S = 0.03
 DUE, EARLY, UNKNOWN = ClaimOutcome.DUE, ClaimOutcome.EARLY, ClaimOutcome.UNKNOWN
 
 
-def work(number):
-    """Return the id of one of many works."""
+def work_id(number):
+    """Return the work id with a number."""
     return f"{number:032x}"
 
 
 class Zones:
-    """Instances of three zones, joined by datagrams.
+    """Instances of three zones, connected by datagrams.
 
     Args:
-        count: How many there are.
-        lost_part: Which part of the datagrams is lost, and which comes twice.
+        count: The number of instances.
+        lost_part: The fraction of datagrams lost, and the fraction duplicated.
     """
 
     def __init__(self, count, *, lost_part=0.0, seed=1):
         rng = random.Random(seed)
         self.network = Network(rng, lost_part=lost_part)
         entries = {
-            one.id: one._replace(availability_zone=f"z{number % 3}")
-            for number, one in enumerate(instance_entries(count).values())
+            entry.id: entry._replace(availability_zone=f"z{number % 3}")
+            for number, entry in enumerate(instance_entries(count).values())
         }
         self.datagrams = {
-            one.id: self.network.join(one, entries) for one in entries.values()
+            entry.id: self.network.join(entry, entries) for entry in entries.values()
         }
         self.links = {
-            one: ReturnLink(datagrams, rng=rng)
-            for one, datagrams in self.datagrams.items()
+            id_: ReturnLink(datagrams, rng=rng)
+            for id_, datagrams in self.datagrams.items()
         }
-        self.own = entries
-        self.zone = [one for one in entries if int(one[1:]) % 3 == 0]
+        self.entries = entries
+        self.zone = [id_ for id_ in entries if int(id_[1:]) % 3 == 0]
 
-    def keepers(self, of=WORK):
-        """Return the ids of a work's keepers in the first zone."""
-        return [one.id for one in self.links[self.zone[0]]._replicas(of)]
+    def replicas(self, work=WORK):
+        """Return the ids of the replicas of a reservation in the first zone."""
+        return [entry.id for entry in self.links[self.zone[0]]._replicas(work)]
 
-    def rest(self, of=WORK):
-        """Return the others of that zone."""
-        keepers = self.keepers(of)
-        return [one for one in self.zone if one not in keepers]
+    def non_replicas(self, work=WORK):
+        """Return the ids of the other instances of that zone."""
+        replicas = self.replicas(work)
+        return [id_ for id_ in self.zone if id_ not in replicas]
 
-    def refuse(self, at, of=WORK):
-        """Let an instance refuse a work; return the time told, from now."""
-        slot = self.links[at].slot("chat", of, 0, starts_per_s=40.0, most_s=3.0)
+    def reject(self, at, work=WORK):
+        """Reject a work at an instance; return the retry delay in seconds."""
+        slot = self.links[at].slot("chat", work, 0, starts_per_s=40.0, most_s=3.0)
         assert slot.is_reserved
         return slot.at_s - clocks.now_s()
 
-    async def refuse_and_wait(self, at, of=WORK):
-        """The same, until the retry."""
-        await asyncio.sleep(self.refuse(at, of))
+    async def reject_and_wait(self, at, work=WORK):
+        """Reject a work at an instance, and wait until its retry time."""
+        await asyncio.sleep(self.reject(at, work))
 
-    def cut(self, *ids):
-        """Let nothing come from some instances any more, nor to them."""
-        for one in ids:
-            self.datagrams[one]._transport.is_cut = True
-            host, port = self.own[one].address.split(":")
+    def disconnect(self, *ids):
+        """Disconnect instances from the network in both directions."""
+        for id_ in ids:
+            self.datagrams[id_]._transport.is_cut = True
+            host, port = self.entries[id_].address.split(":")
             self.network.receivers.pop((host, int(port)), None)
 
     def send(self, sender, to, message):
-        """Send what an instance would not."""
-        self.datagrams[sender].send(self.own[to], message)
+        """Send a message that an instance itself would not send."""
+        self.datagrams[sender].send(self.entries[to], message)
 
 
 @pytest.fixture
-def play(monkeypatch):
-    """Provide a way to run a coroutine function in virtual time."""
-    return lambda part: virtual_time.run(part, monkeypatch)
+def run(monkeypatch):
+    """Return a function that runs a coroutine function in virtual time."""
+    return lambda scenario: virtual_time.run(scenario, monkeypatch)
 
 
-class TestKeepers:
+class TestReplicas:
     @pytest.mark.parametrize("count", [8, 72, 350])
-    def test_retry_at_any_instance_of_the_zone(self, count, play):
-        """Whoever refused, whoever is asked: early, due once, then used up."""
+    def test_retry_at_any_instance_of_the_zone(self, count, run):
+        """For any instances: claims are early, then due once, then unknown."""
 
-        async def part():
+        async def scenario():
             zones = Zones(count)
             rng = random.Random(count)
             for number in range(50):
-                of = work(number)
-                left_s = zones.refuse(rng.choice(zones.zone), of)
+                work = work_id(number)
+                left_s = zones.reject(rng.choice(zones.zone), work)
                 await asyncio.sleep(0.05)
                 claims = [
-                    await zones.links[rng.choice(zones.zone)].claim(of)
+                    await zones.links[rng.choice(zones.zone)].claim(work)
                     for _ in range(2)
                 ]
-                assert [one.outcome for one in claims] == [EARLY, EARLY]
+                assert [claim.outcome for claim in claims] == [EARLY, EARLY]
                 assert claims[0].left_s == pytest.approx(left_s - 0.05, abs=0.01)
                 await asyncio.sleep(left_s - 0.05)
                 for outcome in (DUE, UNKNOWN):
-                    claim = await zones.links[rng.choice(zones.zone)].claim(of)
+                    claim = await zones.links[rng.choice(zones.zone)].claim(work)
                     assert claim.outcome is outcome
                     await asyncio.sleep(0.005)
-            assert not any(one._pending for one in zones.links.values())
+            assert not any(link._pending for link in zones.links.values())
 
-        play(part)
+        run(scenario)
 
-    def test_two_keep_it(self, play):
-        """They are of the own zone; metrics count what is made and kept."""
+    def test_two_replicas(self, run):
+        """Replicas are in the own zone; metrics count own and stored reservations."""
 
-        async def part():
+        async def scenario():
             zones = Zones(9)
-            zones.refuse(zones.zone[0])
+            zones.reject(zones.zone[0])
             await asyncio.sleep(0.01)
-            kept = {one for one, link in zones.links.items() if link.kept()}
-            assert kept == set(zones.keepers())
-            assert kept <= set(zones.zone)
+            holders = {id_ for id_, link in zones.links.items() if link.kept()}
+            assert holders == set(zones.replicas())
+            assert holders <= set(zones.zone)
             assert zones.links[zones.zone[0]].reserved("chat") == 1
             assert zones.links[zones.zone[0]].reserved("other") == 0
 
-        play(part)
+        run(scenario)
 
     @pytest.mark.parametrize("is_open", [True, False])
-    def test_alone(self, is_open, play):
-        """Without peers an instance keeps and claims by itself, and sends nothing."""
+    def test_single_instance(self, is_open, run):
+        """An instance without peers stores and claims locally, and sends nothing."""
 
-        async def part():
+        async def scenario():
             zones = Zones(1)
             if not is_open:
                 zones.datagrams["i0"].connection_lost(None)
-            left_s = zones.refuse("i0")
+            left_s = zones.reject("i0")
             link = zones.links["i0"]
             assert (await link.claim(WORK)).outcome is EARLY
             await asyncio.sleep(left_s)
@@ -156,62 +156,62 @@
             assert (await link.claim(WORK)).outcome is UNKNOWN
             assert zones.network.sent == 0
 
-        play(part)
+        run(scenario)
 
-    def test_nothing_is_kept_that_is_not_reserved(self, play):
-        """A told time without a start is not sent around."""
+    def test_retry_time_without_reservation(self, run):
+        """A retry time without a reserved start is not replicated."""
 
-        async def part():
+        async def scenario():
             zones = Zones(9)
             link = zones.links["i0"]
             slot = link.slot("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
             assert not slot.is_reserved
             assert zones.network.sent == 0
 
-        play(part)
+        run(scenario)
 
 
 class TestFailures:
     @pytest.mark.parametrize("number", [0, 1])
-    def test_keeper_is_killed(self, number, play):
-        """The other one answers; the retry waits no longer than for answers."""
+    def test_killed_replica(self, number, run):
+        """The other replica responds within the timeout of the claim."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            await zones.refuse_and_wait(zones.rest()[0])
-            zones.cut(zones.keepers()[number])
-            began_s = clocks.now_s()
-            claim = await zones.links[zones.rest()[1]].claim(WORK)
+            await zones.reject_and_wait(zones.non_replicas()[0])
+            zones.disconnect(zones.replicas()[number])
+            started_s = clocks.now_s()
+            claim = await zones.links[zones.non_replicas()[1]].claim(WORK)
             assert claim.outcome is DUE
-            assert clocks.now_s() - began_s <= ANSWER_S + 1e-6
+            assert clocks.now_s() - started_s <= CLAIM_TIMEOUT_S + 1e-6
 
-        play(part)
+        run(scenario)
 
-    def test_early_answer_of_one_keeper(self, play):
-        """It counts where the other is silent, after the time for answers."""
+    def test_early_result_of_single_replica(self, run):
+        """An early result is returned after the timeout if the other has none."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            zones.refuse(zones.rest()[0])
+            zones.reject(zones.non_replicas()[0])
             await asyncio.sleep(0.01)
-            zones.cut(zones.keepers()[0])
-            claim = await zones.links[zones.rest()[1]].claim(WORK)
+            zones.disconnect(zones.replicas()[0])
+            claim = await zones.links[zones.non_replicas()[1]].claim(WORK)
             assert claim.outcome is EARLY
             assert claim.left_s > 0.0
 
-        play(part)
+        run(scenario)
 
-    def test_keeper_is_paused(self, play):
-        """It answers seconds later: nobody waits, and nothing starts twice."""
+    def test_paused_replica(self, run):
+        """A response that is seconds late does not delay a retry or start it twice."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            await zones.refuse_and_wait(zones.rest()[0])
-            paused = zones.datagrams[zones.keepers()[0]]
+            await zones.reject_and_wait(zones.non_replicas()[0])
+            paused = zones.datagrams[zones.replicas()[0]]
             late = []
             receive = paused.datagram_received
             paused.datagram_received = lambda data, to: late.append((data, to))
-            link = zones.links[zones.rest()[1]]
+            link = zones.links[zones.non_replicas()[1]]
             assert (await link.claim(WORK)).outcome is DUE
             await asyncio.sleep(1.0)
             paused.datagram_received = receive
@@ -222,148 +222,150 @@
             assert link._pending == {}
             assert (await link.claim(WORK)).outcome is UNKNOWN
 
-        play(part)
+        run(scenario)
 
-    def test_both_keepers_are_gone(self, play):
-        """The retry is a new request, after the time for answers."""
+    def test_both_replicas_unavailable(self, run):
+        """The retry counts as a new request after the timeout."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            await zones.refuse_and_wait(zones.rest()[0])
-            zones.cut(*zones.keepers())
-            began_s = clocks.now_s()
-            claim = await zones.links[zones.rest()[1]].claim(WORK)
+            await zones.reject_and_wait(zones.non_replicas()[0])
+            zones.disconnect(*zones.replicas())
+            started_s = clocks.now_s()
+            claim = await zones.links[zones.non_replicas()[1]].claim(WORK)
             assert claim.outcome is UNKNOWN
-            assert clocks.now_s() - began_s <= ANSWER_S + 1e-6
+            assert clocks.now_s() - started_s <= CLAIM_TIMEOUT_S + 1e-6
 
-        play(part)
+        run(scenario)
 
-    def test_refusing_instance_is_gone(self, play):
-        """What it has reserved remains valid."""
+    def test_rejecting_instance_unavailable(self, run):
+        """Its reservations remain valid."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            gone = zones.rest()[0]
-            left_s = zones.refuse(gone)
+            rejecting = zones.non_replicas()[0]
+            left_s = zones.reject(rejecting)
             await asyncio.sleep(0.01)
-            zones.cut(gone)
+            zones.disconnect(rejecting)
             await asyncio.sleep(left_s)
-            claim = await zones.links[zones.rest()[1]].claim(WORK)
+            claim = await zones.links[zones.non_replicas()[1]].claim(WORK)
             assert claim.outcome is DUE
 
-        play(part)
+        run(scenario)
 
-    def test_zone_is_cut_off(self, play):
-        """Nothing of another zone is needed."""
+    def test_isolated_zone(self, run):
+        """Other zones are not needed."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            zones.cut(*(one for one in zones.own if one not in zones.zone))
-            await zones.refuse_and_wait(zones.rest()[0])
-            claim = await zones.links[zones.rest()[1]].claim(WORK)
+            zones.disconnect(*(id_ for id_ in zones.entries if id_ not in zones.zone))
+            await zones.reject_and_wait(zones.non_replicas()[0])
+            claim = await zones.links[zones.non_replicas()[1]].claim(WORK)
             assert claim.outcome is DUE
 
-        play(part)
+        run(scenario)
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_lost_and_doubled_datagrams(self, seed, play):
-        """One in ten is lost, one in ten comes twice: few lose their start."""
+    def test_lost_and_duplicate_datagrams(self, seed, run):
+        """With a tenth lost and a tenth duplicated, few retries lose their start."""
 
-        async def part():
+        async def scenario():
             zones = Zones(72, lost_part=0.1, seed=seed)
             rng = random.Random(seed)
             counts = []
             for number in range(200):
-                of = work(number)
-                await zones.refuse_and_wait(rng.choice(zones.zone), of)
+                work = work_id(number)
+                await zones.reject_and_wait(rng.choice(zones.zone), work)
                 claims = [
-                    await zones.links[rng.choice(zones.zone)].claim(of)
+                    await zones.links[rng.choice(zones.zone)].claim(work)
                     for _ in range(4)
                 ]
-                counts.append(sum(one.outcome is DUE for one in claims))
+                counts.append(sum(claim.outcome is DUE for claim in claims))
                 await asyncio.sleep(0.05)
-            # Lost at both keepers: at most (1 - 0.9 ** 3) ** 2 of the first claims.
-            assert sum(not one for one in counts) <= 0.08 * len(counts)
+            # Lost at both replicas: at most (1 - 0.9 ** 3) ** 2 of the first claims.
+            assert sum(not count for count in counts) <= 0.08 * len(counts)
             assert max(counts) <= 2
-            assert sum(one == 2 for one in counts) <= 0.4 * len(counts)
+            assert sum(count == 2 for count in counts) <= 0.4 * len(counts)
 
-        play(part)
+        run(scenario)
 
-    def test_doubled_datagrams_of_a_claim(self, play):
-        """The copy of a claim doesn't answer that the reservation is unknown."""
+    def test_duplicate_datagrams_of_claim(self, run):
+        """A duplicate of a claim does not get an unknown result."""
 
-        async def part():
+        async def scenario():
             zones = Zones(72)
             zones.network.rng = random.Random(1)
             for number in range(50):
-                of = work(number)
-                await zones.refuse_and_wait(zones.rest(of)[0], of)
-                asker = zones.datagrams[zones.rest(of)[1]]
-                send = asker.send
-                asker.send = lambda *told, send=send: (send(*told), send(*told))
-                claim = await zones.links[zones.rest(of)[1]].claim(of)
-                asker.send = send
+                work = work_id(number)
+                await zones.reject_and_wait(zones.non_replicas(work)[0], work)
+                claimant = zones.datagrams[zones.non_replicas(work)[1]]
+                send = claimant.send
+                claimant.send = lambda *args, send=send: (send(*args), send(*args))
+                claim = await zones.links[zones.non_replicas(work)[1]].claim(work)
+                claimant.send = send
                 assert claim.outcome is DUE
 
-        play(part)
+        run(scenario)
 
     @pytest.mark.parametrize("seed", range(20))
-    def test_claims_at_the_same_moment(self, seed, play):
-        """However they reach the keepers, at least one starts and at most two do."""
+    def test_simultaneous_claims(self, seed, run):
+        """In any order of arrival, at least one claim and at most two are due."""
 
-        async def part():
+        async def scenario():
             zones = Zones(72, seed=seed)
-            await zones.refuse_and_wait(zones.rest()[0])
+            await zones.reject_and_wait(zones.non_replicas()[0])
             claims = await asyncio.gather(
-                *(zones.links[one].claim(WORK) for one in zones.zone)
+                *(zones.links[id_].claim(WORK) for id_ in zones.zone)
             )
-            assert 1 <= sum(one.outcome is DUE for one in claims) <= 2
+            assert 1 <= sum(claim.outcome is DUE for claim in claims) <= 2
 
-        play(part)
+        run(scenario)
 
 
 class TestBounds:
-    def test_claims_in_flight(self, play):
-        """Further ones are unknown at once; later ones are asked again."""
+    def test_claims_in_flight(self, run):
+        """Claims above the limit are unknown immediately; later claims are sent."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            of = next(
-                work(n) for n in range(99) if zones.zone[0] in zones.rest(work(n))
+            work = next(
+                work_id(n)
+                for n in range(99)
+                if zones.zone[0] in zones.non_replicas(work_id(n))
             )
-            zones.cut(*zones.keepers(of))
+            zones.disconnect(*zones.replicas(work))
             link = zones.links[zones.zone[0]]
-            most = _return_link._MAX_PENDING_CLAIMS
-            claims = [asyncio.ensure_future(link.claim(of)) for _ in range(2 * most)]
+            limit = _return_link._MAX_PENDING_CLAIMS
+            claims = [asyncio.ensure_future(link.claim(work)) for _ in range(2 * limit)]
             await asyncio.sleep(0.01)
-            assert len(link._pending) == most
-            assert sum(one.done() for one in claims) == most
+            assert len(link._pending) == limit
+            assert sum(claim.done() for claim in claims) == limit
             await asyncio.gather(*claims)
             assert link._pending == {}
 
-        play(part)
+        run(scenario)
 
-    def test_answers_are_forgotten(self, play):
-        """Questions without number fill no memory."""
+    def test_cached_results(self, run):
+        """The number of cached results is bounded."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            one, other = zones.zone[:2]
+            sender, receiver = zones.zone[:2]
             for number in range(3 * _return_link._MAX_CACHED_RESULTS):
-                token = zones.own[other].token
-                zones.send(one, other, ClaimDatagram(token, one, number, WORK))
+                token = zones.entries[receiver].token
+                zones.send(sender, receiver, ClaimDatagram(token, sender, number, WORK))
             await asyncio.sleep(0.1)
-            link = zones.links[other]
+            link = zones.links[receiver]
             assert len(link._results) == _return_link._MAX_CACHED_RESULTS
 
-        play(part)
+        run(scenario)
 
-    def test_caller_that_has_gone(self, play):
-        """A claim that is cancelled leaves nothing behind."""
+    def test_disconnected_caller(self, run):
+        """A cancelled claim leaves no state."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            link = zones.links[zones.rest()[0]]
+            link = zones.links[zones.non_replicas()[0]]
             claim = asyncio.ensure_future(link.claim(WORK))
             await asyncio.sleep(0.0)
             assert link._pending
@@ -371,58 +373,62 @@
             await asyncio.sleep(0.05)
             assert link._pending == {}
 
-        play(part)
+        run(scenario)
 
 
-class TestForeign:
+class TestInvalidMessages:
     @pytest.mark.parametrize("token", ["", "t1", "other"])
-    def test_wrong_token(self, token, play):
-        """Who has not read the entry neither reserves nor uses reservations up."""
+    def test_wrong_token(self, token, run):
+        """A sender without the receiver's token can neither reserve nor claim."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            asker, keeper = zones.rest()[0], zones.keepers()[0]
-            zones.send(asker, keeper, ReservedDatagram(token, asker, work(7), 100))
-            zones.refuse(asker)
+            claimant, replica = zones.non_replicas()[0], zones.replicas()[0]
+            zones.send(
+                claimant, replica, ReservedDatagram(token, claimant, work_id(7), 100)
+            )
+            zones.reject(claimant)
             await asyncio.sleep(0.01)
-            assert zones.links[keeper].kept() == 1
+            assert zones.links[replica].kept() == 1
             await asyncio.sleep(3.0)
-            zones.send(asker, keeper, ClaimDatagram(token, asker, 1, WORK))
+            zones.send(claimant, replica, ClaimDatagram(token, claimant, 1, WORK))
             await asyncio.sleep(0.01)
-            assert zones.links[keeper]._results == {}
+            assert zones.links[replica]._results == {}
 
-        play(part)
+        run(scenario)
 
-    def test_answer_of_who_was_not_asked(self, play):
-        """It starts nothing."""
+    def test_unsolicited_result(self, run):
+        """A result from an instance without the claim is ignored."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            asker, liar = zones.rest()[:2]
-            zones.cut(*zones.keepers())
-            link = zones.links[asker]
+            claimant, intruder = zones.non_replicas()[:2]
+            zones.disconnect(*zones.replicas())
+            link = zones.links[claimant]
             claim = asyncio.ensure_future(link.claim(WORK))
             await asyncio.sleep(0.0)
             (number,) = link._pending
-            token = zones.own[asker].token
-            zones.send(liar, asker, ClaimedDatagram(token, liar, number, DUE, 0))
+            token = zones.entries[claimant].token
+            zones.send(
+                intruder, claimant, ClaimedDatagram(token, intruder, number, DUE, 0)
+            )
             assert (await claim).outcome is UNKNOWN
 
-        play(part)
+        run(scenario)
 
-    def test_claim_of_another_zone(self, play):
-        """Whoever is not of the zone uses nothing up."""
+    def test_claim_from_other_zone(self, run):
+        """An instance of another zone consumes no reservation."""
 
-        async def part():
+        async def scenario():
             zones = Zones(24)
-            keeper = zones.keepers()[0]
-            await zones.refuse_and_wait(zones.rest()[0])
-            token = zones.own[keeper].token
-            zones.send("i1", keeper, ClaimDatagram(token, "i1", 1, WORK))
+            replica = zones.replicas()[0]
+            await zones.reject_and_wait(zones.non_replicas()[0])
+            token = zones.entries[replica].token
+            zones.send("i1", replica, ClaimDatagram(token, "i1", 1, WORK))
             await asyncio.sleep(0.01)
-            assert zones.links[keeper].kept() == 1
+            assert zones.links[replica].kept() == 1
 
-        play(part)
+        run(scenario)
 
     @pytest.mark.parametrize(
         "data",
@@ -431,8 +437,8 @@
             b"noise",
             b"\x93\xa1v\xa2t0\xa2i3",
             *(
-                msgspec.msgpack.encode(one)
-                for one in (
+                msgspec.msgpack.encode(message)
+                for message in (
                     ["v", "t0", "i3", "x" * 32, 100],
                     ["v", "t0", "i3", "A" * 32, 100],
                     ["v", "t0", "i3", "0" * 33, 100],
@@ -450,10 +456,10 @@
             ),
         ],
     )
-    def test_foreign_bytes(self, data, play):
-        """They are refused, and the next datagram is taken."""
+    def test_malformed_datagrams(self, data, run):
+        """Malformed datagrams are rejected, and the next datagram is processed."""
 
-        async def part():
+        async def scenario():
             zones = Zones(9)
             link = zones.links["i0"]
             zones.datagrams["i0"].datagram_received(data, None)
@@ -463,19 +469,19 @@
             await asyncio.sleep(0.01)
             assert link.kept() == 1
 
-        play(part)
+        run(scenario)
 
 
 class TestSockets:
-    async def test_over_loopback(self, monkeypatch):
-        """Real datagrams: early, then due where a keeper is dead, then used up.
+    async def test_loopback(self, monkeypatch):
+        """Real datagrams: early, then due despite a dead replica, then unknown.
 
-        The time for answers is tested in virtual time; here the machine may be busy.
+        The timeout is tested in virtual time; here it is longer, for busy machines.
         """
         monkeypatch.setattr(_return_link, "_RESPONSE_TIMEOUT_S", 1.0)
         entries = {
-            f"i{n}": one._replace(address=f"127.0.0.1:{port}")
-            for (n, port), one in zip(
+            f"i{n}": entry._replace(address=f"127.0.0.1:{port}")
+            for (n, port), entry in zip(
                 enumerate(free_ports(4)), instance_entries(4).values(), strict=True
             )
         }
@@ -486,17 +492,17 @@
             sockets[own.id] = PeerDatagrams(directory)
             await sockets[own.id].start(own.address)
             links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
-        keepers = [one.id for one in links["i0"]._replicas(WORK)]
-        first, second = (one for one in links if one not in keepers)
+        replicas = [entry.id for entry in links["i0"]._replicas(WORK)]
+        first, second = (id_ for id_ in links if id_ not in replicas)
         slot = links[first].slot("chat", WORK, 0, starts_per_s=40.0, most_s=3.0)
         async with asyncio.timeout(5):
-            while not all(links[one].kept() for one in keepers):
+            while not all(links[id_].kept() for id_ in replicas):
                 await asyncio.sleep(0.005)
         assert (await links[second].claim(WORK)).outcome is EARLY
-        sockets[keepers[0]]._transport.close()
+        sockets[replicas[0]]._transport.close()
         await asyncio.sleep(clocks.left_s(slot.at_s))
         assert (await links[second].claim(WORK)).outcome is DUE
         assert (await links[second].claim(WORK)).outcome is UNKNOWN
-        for one in sockets.values():
-            if one.is_open:
-                one._transport.close()
+        for datagrams in sockets.values():
+            if datagrams.is_open:
+                datagrams._transport.close()
