--- a/bench/suspect_costs.py
+++ b/bench/suspect_costs.py
@@ -20,7 +20,7 @@
 from violethatch._peer_datagrams import PeerDatagrams
 from violethatch.instances import InstanceDirectory, InstanceEntry
 from violethatch.suspicion import CrashSuspects, End, SuspectLink
-from violethatch.work_ids import part_id, work_id
+from violethatch.work_ids import prompt_part_id, work_id
 
 
 #: Requests that a server runs at once.
@@ -121,7 +121,7 @@
         await instances.cost(
             f"{nth} end under one of them", [(number, _work(0), f"s{number + 1}")]
         )
-    parts = [part_id(f"{number:x}") for number in range(_POPULAR_PARTS)]
+    parts = [prompt_part_id(f"{number:x}") for number in range(_POPULAR_PARTS)]
     for nth in ("first", "second", "third"):
         await instances.cost(
             f"{nth} end under 96 requests with three of six parts",
@@ -152,7 +152,7 @@
     for work in works:
         suspects.hold(work, now_s=0.0)
     look_us = (time.process_time() - started_s) / len(works) * _US_PER_S
-    part = part_id("a")
+    part = prompt_part_id("a")
     for lifetime in ("a", "b", "c"):
         suspects.note(End(part, lifetime, False, "i1"), now_s=0.0)
     started_s = time.process_time()
--- a/src/violethatch/_engine_link.py
+++ b/src/violethatch/_engine_link.py
@@ -84,8 +84,8 @@
         self.url = url
         self.hello: wire.Hello | None = None
         self.load = wire.Load(0, 0, False, [])
-        self.view = LoadView()
-        self.stall = StallLimit(initial_s=stall_initial_s, floor_s=stall_floor_s)
+        self.load_view = LoadView()
+        self.stall_limit = StallLimit(initial_s=stall_initial_s, floor_s=stall_floor_s)
         self.is_stalled = False
         self.late_results = 0
         self._silence_limit_s = silence_limit_s
@@ -95,10 +95,10 @@
         self._steps: list[wire.Step] = []
         self._cancels: list[wire.Cancel] = []
         self._orders: list[wire.Order] = []
-        self._order_answers: dict[int, asyncio.Future[wire.Ordered]] = {}
+        self._order_answers: dict[int, asyncio.Future[wire.OrderResult]] = {}
         self._moves: list[bytes] = []
         self._move_answers: dict[
-            tuple[int, str, int], asyncio.Future[wire.Cache | wire.Imported]
+            tuple[int, str, int], asyncio.Future[wire.Cache | wire.ImportResult]
         ] = {}
         self._wake = asyncio.Event()
         self._heard_s = 0.0
@@ -132,7 +132,7 @@
         self._cancels.append(wire.Cancel(request, epoch))
         self._wake.set()
 
-    async def order(self, order: wire.Order, *, timeout_s: float) -> wire.Ordered:
+    async def order(self, order: wire.Order, *, timeout_s: float) -> wire.OrderResult:
         """Give a fenced order; return the engine's answer.
 
         Raises:
@@ -173,7 +173,7 @@
 
     async def _move(
         self, frame: bytes, key: tuple[int, str, int], timeout_s: float
-    ) -> wire.Cache | wire.Imported:
+    ) -> wire.Cache | wire.ImportResult:
         """Send a frame of a cache's move and return its answer."""
         if self.hello is None:
             raise StageFailedError(self.runner_id, "not connected")
@@ -182,7 +182,7 @@
         self._moves.append(frame)
         self._wake.set()
         try:
-            answer: wire.Cache | wire.Imported
+            answer: wire.Cache | wire.ImportResult
             answer = await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
             raise StageFailedError(self.runner_id, "cache not moved in time") from None
@@ -267,7 +267,7 @@
                 self._take_result(result, now_s)
         elif kind == wire.FrameKind.LOAD:
             self.load = wire.decode_load(body)
-            self.view.reported(self.load.active, now_s=now_s)
+            self.load_view.reported(self.load.active, now_s=now_s)
             self._on_change()
         elif kind == wire.FrameKind.HELLO:
             self.hello = wire.decode_hello(body)
@@ -276,14 +276,14 @@
         elif kind == wire.FrameKind.EXPORTED:
             self._take_move(kind, wire.decode_cache(body))
         elif kind == wire.FrameKind.IMPORTED:
-            self._take_move(kind, wire.decode_imported(body))
+            self._take_move(kind, wire.decode_import_result(body))
         elif kind == wire.FrameKind.ORDERED:
-            answer = wire.decode_ordered(body)
+            answer = wire.decode_order_result(body)
             waiting = self._order_answers.get(answer.order_id)
             if waiting is not None and not waiting.done():
                 waiting.set_result(answer)
 
-    def _take_move(self, kind: int, answer: wire.Cache | wire.Imported) -> None:
+    def _take_move(self, kind: int, answer: wire.Cache | wire.ImportResult) -> None:
         """Give the answer about a cache to whoever waits for it."""
         waiting = self._move_answers.get((kind, answer.request, answer.epoch))
         if waiting is not None and not waiting.done():
@@ -312,10 +312,10 @@
 
     def _learn(self, elapsed_s: float) -> None:
         """Learn from the time of a single-position step."""
-        self.stall.observe(elapsed_s)
-        self.view.observed(elapsed_s)
+        self.stall_limit.observe(elapsed_s)
+        self.load_view.observed(elapsed_s)
 
-    def sweep(self, now_s: float) -> None:
+    def check_timeouts(self, now_s: float) -> None:
         """Fail overdue steps; judge the runner by whether it makes progress."""
         if self.hello is None:
             return
@@ -345,7 +345,7 @@
 
         A runner that answers other steps meanwhile is busy, not hung.
         """
-        limit_s = self.stall.limit_s(positions=pending.positions)
+        limit_s = self.stall_limit.limit_s(positions=pending.positions)
         waited_s = now_s - pending.submitted_s
         if self._result_s > pending.submitted_s:
             return now_s - self._result_s > limit_s or waited_s > limit_s * _BUSY_FACTOR
--- a/src/violethatch/_fleet.py
+++ b/src/violethatch/_fleet.py
@@ -102,7 +102,7 @@
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now_s = clocks.now_s()
             for link in self._links.values():
-                link.sweep(now_s)
+                link.check_timeouts(now_s)
 
     def follow(self, listed: Iterable[ListedInstance]) -> None:
         """Connect to the runners in the list that this instance watches.
@@ -123,7 +123,7 @@
         for runner_id in set(self._links) - watched:
             self._mark(runner_id, "list", True)
             link = self._links[runner_id]
-            if link.hello is None and link.view.own == 0:
+            if link.hello is None and link.load_view.own == 0:
                 self._drop(runner_id)
 
     def follow_operators(self, leaving: Collection[str]) -> None:
@@ -165,12 +165,12 @@
     def open(self, runner_id: str) -> EngineLink:
         """Count a stream in; return the connection to its runner."""
         link = self._links[runner_id]
-        link.view.opened(now_s=clocks.now_s())
+        link.load_view.opened(now_s=clocks.now_s())
         return link
 
     def close(self, link: EngineLink, request: str, epoch: int) -> None:
         """Count a stream out and let the runner forget it."""
-        link.view.closed(now_s=clocks.now_s())
+        link.load_view.closed(now_s=clocks.now_s())
         link.cancel(request, epoch)
 
     def refused_as_leaving(self, runner_id: str) -> None:
@@ -194,9 +194,9 @@
             leaving=self.marks.sources(link.runner_id),
             layers=list(hello.layers) if hello else [],
             kind=hello.kind if hello else "",
-            own=link.view.own,
-            others=link.view.others,
-            quickest_ms=round(link.view.quickest_s * 1000, 3),
+            own=link.load_view.own,
+            others=link.load_view.others,
+            quickest_ms=round(link.load_view.quickest_s * 1000, 3),
             late_results=link.late_results,
         )
 
@@ -207,9 +207,9 @@
                 runner_id=link.runner_id,
                 layers=link.hello.layers,
                 peak_tokens_per_s=link.hello.peak_tokens_per_s,
-                quickest_s=link.view.quickest_s,
-                own=link.view.own,
-                others=link.view.others,
+                quickest_s=link.load_view.quickest_s,
+                own=link.load_view.own,
+                others=link.load_view.others,
             )
             for link in self._links.values()
             if link.hello is not None
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -55,7 +55,7 @@
         routing.may_try = self._suspects.may_try
         self._suspects.keep_hold = lambda trait: routing.store_hold(trait)
         routing.broadcast_slowness = self._paces.broadcast
-        routing.retries.ask_for_retries = self._retries.ask
+        routing.retries.request_retries = self._retries.request
         routing.flow_control.limits.request_permit = self.limits.request_permit
         routing.flow_control.limits.announce = self.limits.announce
         routing.admission.returns = self._returns
--- a/src/violethatch/_plain_calls.py
+++ b/src/violethatch/_plain_calls.py
@@ -220,7 +220,7 @@
         if server is None:
             return None
         is_again = self.sends > 0
-        if is_again and not await self._routing.retries.may_retry(service):
+        if is_again and not await self._routing.retries.acquire_retry(service):
             return None
         if self._has_ended():
             if is_again:
--- a/src/violethatch/_retry_budgets.py
+++ b/src/violethatch/_retry_budgets.py
@@ -33,23 +33,23 @@
         self.settings = settings
         self._is_usable = is_usable
         #: Tells how many instances are known to serve; None where none is told of.
-        self.instances: Callable[[], int] | None = None
+        self.instance_count: Callable[[], int] | None = None
         #: Asks other instances for a service's retries, where there are any.
-        self.ask_for_retries: Callable[[str], Awaitable[bool]] = _ask_nobody
+        self.request_retries: Callable[[str], Awaitable[bool]] = _ask_nobody
         self._budgets: dict[str, RetryShare] = {}
 
     def count_request(self, service: str) -> None:
         """Note a caller's request, which earns a part of a retry."""
-        budget = self.budget(service).own
+        budget = self.budget(service).own_budget
         budget.resize(self._reserve())
         budget.deposit()
 
-    async def may_retry(self, service: str) -> bool:
+    async def acquire_retry(self, service: str) -> bool:
         """Take a retry from the service's budget; tell whether there was one."""
         budget = self.budget(service)
         give_up_s = clocks.now_s() + _RETRY_WAIT_S
-        while budget.left(now_s=clocks.now_s()) < 1.0:
-            is_given = await self.ask_for_retries(service)
+        while budget.available(now_s=clocks.now_s()) < 1.0:
+            is_given = await self.request_retries(service)
             if not is_given or clocks.now_s() >= give_up_s:
                 break
         is_paid = budget.withdraw(now_s=clocks.now_s())
@@ -59,17 +59,17 @@
 
     def return_retry(self, service: str) -> None:
         """Take back a retry that was paid for a send which was kept back."""
-        self.budget(service).own.give_back()
+        self.budget(service).own_budget.give_back()
 
-    def give_retries(self, service: str, wanted: float) -> float:
+    def grant_retries(self, service: str, wanted: float) -> float:
         """Take off and return what another instance gets of a service's retries."""
         if service not in self._budgets and not self._is_usable(service):
             return 0.0
-        return self.budget(service).give(wanted)
+        return self.budget(service).grant(wanted)
 
-    def take_retries(self, service: str, amount: float) -> None:
+    def receive_retries(self, service: str, amount: float) -> None:
         """Take in what another instance has taken off its part."""
-        self.budget(service).take(amount, now_s=clocks.now_s())
+        self.budget(service).add_grant(amount, now_s=clocks.now_s())
 
     def budget(self, service: str) -> RetryShare:
         """Return this instance's part of a service's retries."""
@@ -83,10 +83,10 @@
     def _reserve(self) -> float:
         """Return this instance's part of the retries that all may save up."""
         policy = self.settings.policy
-        if self.instances is None:
+        if self.instance_count is None:
             return policy.retry_reserve
         part = self.settings.bounds.retry_slack * policy.retry_slack_part
-        instances = self.instances()
+        instances = self.instance_count()
         return part / instances if instances else _UNKNOWN_RESERVE
 
 
--- a/src/violethatch/_retry_link.py
+++ b/src/violethatch/_retry_link.py
@@ -29,10 +29,10 @@
 class Account(Protocol):
     """An instance's retries, by service."""
 
-    def give_retries(self, service: str, wanted: float) -> float:
+    def grant_retries(self, service: str, wanted: float) -> float:
         """Take off and return what another instance gets."""
 
-    def take_retries(self, service: str, amount: float) -> None:
+    def receive_retries(self, service: str, amount: float) -> None:
         """Take in what another instance has taken off its part."""
 
 
@@ -66,7 +66,7 @@
         datagrams.on(RetryAskDatagram, self._take_question)
         datagrams.on(RetryGiftDatagram, self._take_gift)
 
-    async def ask(self, service: str) -> bool:
+    async def request(self, service: str) -> bool:
         """Ask others for retries; tell whether one has given some before too long.
 
         What came while this instance stood still is too old: others are asked again.
@@ -126,7 +126,7 @@
 
     def _take_question(self, message: RetryAskDatagram) -> None:
         """Give another instance some retries, if there are any."""
-        amount = self._account.give_retries(message.service, message.wanted)
+        amount = self._account.grant_retries(message.service, message.wanted)
         if not amount:
             return
         directory = self._datagrams.directory
@@ -144,7 +144,7 @@
         if question is None or message.sender not in question.peers:
             return  # too late, or a datagram that came twice
         question.peers.discard(message.sender)
-        self._account.take_retries(question.service, message.amount)
+        self._account.receive_retries(question.service, message.amount)
         events.log(
             events.RETRIES_GIVEN,
             service=question.service,
--- a/src/violethatch/_repeated_reads.py
+++ b/src/violethatch/_retrying_reader.py
@@ -26,7 +26,7 @@
 _LONG_WAIT_S = 5.0
 
 
-class RepeatedReads:
+class RetryingReader:
     """Reads a store's tables; repeats reads that are lost.
 
     Args:
@@ -34,9 +34,11 @@
         on_lost: Called with the table of each read that is lost.
     """
 
-    def __init__(self, store: TableStore, *, on_lost: Callable[[str], None]) -> None:
+    def __init__(
+        self, store: TableStore, *, on_read_lost: Callable[[str], None]
+    ) -> None:
         self._store = store
-        self._on_lost = on_lost
+        self._on_lost = on_read_lost
         self._lost = asyncio.Event()
 
     async def read_table(self, table: str) -> TableView:
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -232,7 +232,7 @@
             place: Tells the own place among those of the own zone.
         """
         self.instance_count = count
-        self.retries.instances = count
+        self.retries.instance_count = count
         self._paths.zone_position = place
 
     def usable(self, service: str) -> list[BackendServer]:
--- a/src/violethatch/relayed_tables.py
+++ b/src/violethatch/relayed_tables.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection, Mapping
 
 from . import clocks, events
-from ._repeated_reads import RepeatedReads
+from ._retrying_reader import RetryingReader
 from .errors import TableUnavailableError
 from .freshness import StoreClock
 from .instances import InstanceDirectory, InstanceEntry
@@ -88,7 +88,7 @@
         #: Tables whose latest read of the store came to nothing: it may have been
         #: restored since.
         self._interrupted: set[str] = set()
-        self._store = RepeatedReads(store, on_lost=self._interrupted.add)
+        self._store = RetryingReader(store, on_read_lost=self._interrupted.add)
         self._peers = peers
         self._directory = directory
         self._unproven = unproven
--- a/src/violethatch/retry_shares.py
+++ b/src/violethatch/retry_shares.py
@@ -46,18 +46,18 @@
     """
 
     def __init__(self, budget: RetryBudget) -> None:
-        self.own = budget
+        self.own_budget = budget
         #: What others have given: until when it counts, and how much is left.
         self._given: collections.deque[tuple[float, float]] = collections.deque()
 
-    def left(self, *, now_s: float) -> float:
+    def available(self, *, now_s: float) -> float:
         """Return how many retries there are, gifts included."""
         self._expire(now_s)
-        return self.own.balance + sum(amount for _, amount in self._given)
+        return self.own_budget.balance + sum(amount for _, amount in self._given)
 
     def withdraw(self, *, now_s: float) -> bool:
         """Take one retry, gifts first; tell whether there was one."""
-        if self.left(now_s=now_s) < 1.0:
+        if self.available(now_s=now_s) < 1.0:
             return False
         wanted = 1.0
         while self._given and wanted > 0.0:
@@ -66,22 +66,22 @@
             wanted -= taken
             if amount > taken:
                 self._given.appendleft((until_s, amount - taken))
-        self.own.balance -= wanted
+        self.own_budget.balance -= wanted
         return True
 
-    def give(self, wanted: float) -> float:
+    def grant(self, wanted: float) -> float:
         """Take off and return what another instance gets; 0 if it is too little.
 
         Only of the own part: what was given is not passed on, so that it can't go
         round.
         """
-        given = min(wanted, GIVEN_PART * self.own.balance)
+        given = min(wanted, GIVEN_PART * self.own_budget.balance)
         if given < _LEAST_GIVEN:
             return 0.0
-        self.own.balance -= given
+        self.own_budget.balance -= given
         return given
 
-    def take(self, amount: float, *, now_s: float) -> None:
+    def add_grant(self, amount: float, *, now_s: float) -> None:
         """Take in what another instance has taken off its part."""
         self._given.append((now_s + GIFT_LIFE_S, amount))
 
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -221,7 +221,7 @@
             return Obstacle.NO_PATH
         is_again = self.sends > 0 or bool(self._live)
         retries = self._routing.retries
-        if is_again and not await retries.may_retry(self._service.name):
+        if is_again and not await retries.acquire_retry(self._service.name):
             return Obstacle.NO_RETRY
         found = Obstacle.HELD if self._work.is_held else None
         if self._live and not self._live.are_silent:
--- a/src/violethatch/suspicion/_link.py
+++ b/src/violethatch/suspicion/_link.py
@@ -23,7 +23,7 @@
 )
 from ..instances import InstanceEntry
 from ..membership import rendezvous
-from ..work_ids import check_work_id, is_part, part_of
+from ..work_ids import check_work_id, is_prompt_part, prompt_part_prefix
 from ._suspect import End
 from .crash_suspects import CrashSuspects
 
@@ -87,14 +87,14 @@
         if ends > 1:
             peers = self._others()
         else:
-            peers = self._homes(trait) if is_part(trait) else []
+            peers = self._homes(trait) if is_prompt_part(trait) else []
         for peer in peers:
             if self._allowance.take():
                 self._datagrams.send(peer, ClearedDatagram(peer.token, own_id, trait))
 
     def may_try(self, trait: str) -> bool:
         """Tell whether this instance is the one that tries a held part again."""
-        return self._is_chosen(part_of(trait), count=1)
+        return self._is_chosen(prompt_part_prefix(trait), count=1)
 
     def _others(self) -> list[InstanceEntry]:
         """Return all other instances."""
--- a/src/violethatch/suspicion/_work.py
+++ b/src/violethatch/suspicion/_work.py
@@ -15,7 +15,7 @@
 from ..router_settings import RouterSettings
 from ..runner_health import ServerFault
 from ..upstream import Call, ConnectionBrokenError
-from ..work_ids import is_part, part_id, part_of
+from ..work_ids import is_prompt_part, prompt_part_id, prompt_part_prefix
 from ._server_ends import ServerEnds
 from ._suspect import End, Hold
 from .crash_suspects import PROBE_S, TRIAL_PAUSE_S, CrashSuspects
@@ -73,7 +73,7 @@
 
 def _retry_after_s(hold: Hold) -> float:
     """Return when a caller who is held back should come back, in seconds."""
-    if is_part(hold.trait) and hold.age_s < _YOUNG_S:
+    if is_prompt_part(hold.trait) and hold.age_s < _YOUNG_S:
         return _YOUNG_S
     return min(hold.left_s or TRIAL_PAUSE_S, _MAX_RETRY_AFTER_S)
 
@@ -109,9 +109,9 @@
     def _parts(self) -> tuple[str, ...]:
         """The ids of the prompt's parts, for all callers and for this one."""
         parts = self._call.prompt_parts
-        shared = [part_id(one) for one in parts]
+        shared = [prompt_part_id(one) for one in parts]
         if self._workspace is not None:
-            shared += [part_id(one, caller=self._workspace) for one in parts]
+            shared += [prompt_part_id(one, caller=self._workspace) for one in parts]
         return tuple(shared)
 
     @property
@@ -156,7 +156,7 @@
             holds=hold.number,
             left_s=round(hold.left_s, 1),
         )
-        what = "a part of its prompt" if is_part(hold.trait) else "it"
+        what = "a part of its prompt" if is_prompt_part(hold.trait) else "it"
         msg = f"{len(hold.ends)} servers have ended under {what}"
         return HeldBackError(msg, retry_after_s=round(_retry_after_s(hold), 1))
 
@@ -171,7 +171,7 @@
 
     def _may_try(self, hold: Hold) -> bool:
         """Tell whether this call may show that a held part is not at fault."""
-        trial = (part_of(hold.trait), hold.number)
+        trial = (prompt_part_prefix(hold.trait), hold.number)
         if self._trial == trial:
             return True
         if hold.left_s > 0.0 or not self._routing.may_try(hold.trait):
--- a/src/violethatch/suspicion/crash_suspects.py
+++ b/src/violethatch/suspicion/crash_suspects.py
@@ -39,7 +39,7 @@
 
 from collections.abc import Collection, Iterable
 
-from ..work_ids import caller_of, is_part, part_of
+from ..work_ids import caller_prefix, is_prompt_part, prompt_part_prefix
 from ._suspect import End, Hold, Suspect, hold_s
 
 
@@ -107,7 +107,7 @@
 
         An end after an answer had begun says nothing of a prompt's part.
         """
-        if is_part(end.trait) and end.has_begun:
+        if is_prompt_part(end.trait) and end.has_begun:
             return False
         suspect = self._suspects.get(end.trait)
         if suspect is not None and now_s - suspect.last_s >= suspect.life_s:
@@ -126,7 +126,7 @@
                 suspect.last_s = now_s
             # The latest ends under a part tell it apart from others.
             is_enough = not suspect.holds or now_s < suspect.until_s
-            if is_enough and not is_part(end.trait):
+            if is_enough and not is_prompt_part(end.trait):
                 return False
             del suspect.ends[next(iter(suspect.ends))]
         suspect.ends[end.lifetime] = end
@@ -150,7 +150,7 @@
         if not suspect.holds:
             return None
         left_s = suspect.until_s - now_s
-        if left_s <= 0.0 and not is_part(trait):
+        if left_s <= 0.0 and not is_prompt_part(trait):
             return None
         if now_s - suspect.last_s >= suspect.life_s:
             return None
@@ -181,7 +181,7 @@
             now_s: The current monotonic time, in seconds.
         """
         suspect = self._suspects.get(trait)
-        key, pause_s = part_of(trait), TRIAL_PAUSE_S
+        key, pause_s = prompt_part_prefix(trait), TRIAL_PAUSE_S
         if suspect is not None and suspect.was_answered and suspect.holds == 1:
             # As likely sound as not, and then the parts of all callers are held.
             key, pause_s = trait, _TURNED_HOLD_S
@@ -279,7 +279,7 @@
             begun_s: When the answer began, where that is known.  One that began before
                 the first end under a part doesn't tell whether the part has turned.
         """
-        if is_part(trait):
+        if is_prompt_part(trait):
             self._sound_s.pop(trait, None)
             self._sound_s[trait] = now_s
             while len(self._sound_s) > _MAX_SOUND:
@@ -328,7 +328,7 @@
         if suspect.weight < HELD_WEIGHT or len(suspect.ends) < LEAST_ENDS:
             return False
         own = suspect.unbegun()
-        return not is_part(trait) or not any(
+        return not is_prompt_part(trait) or not any(
             own < self._suspects[other].unbegun() for other in self._rivals(trait)
         )
 
@@ -337,7 +337,7 @@
 
         Not of a part that has turned, if answers with what it lacks begin again.
         """
-        if not is_part(trait):
+        if not is_prompt_part(trait):
             return False
         has_turned = self._suspects[trait].was_answered
         return any(
@@ -372,17 +372,17 @@
             self._forget_some()
         suspect = Suspect(
             begun=self._begun,
-            was_answered=is_part(trait) and self._was_answered(trait, now_s),
+            was_answered=is_prompt_part(trait) and self._was_answered(trait, now_s),
             now_s=now_s,
         )
         self._suspects[trait] = suspect
-        self._part_count += is_part(trait)
+        self._part_count += is_prompt_part(trait)
         return suspect
 
     def _drop(self, trait: str) -> None:
         """Forget one trait."""
         del self._suspects[trait]
-        self._part_count -= is_part(trait)
+        self._part_count -= is_prompt_part(trait)
 
     def _forget_old(self, now_s: float) -> None:
         """Forget what is too old."""
@@ -401,9 +401,9 @@
         ever new parts take only those of parts.  As many go at once as keep the search
         for them below 0.1 ms a trait.
         """
-        counts = collections.Counter(caller_of(trait) for trait in self._suspects)
+        counts = collections.Counter(caller_prefix(trait) for trait in self._suspects)
         ((fullest, count),) = counts.most_common(1)
-        traits = [trait for trait in self._suspects if caller_of(trait) == fullest]
+        traits = [trait for trait in self._suspects if caller_prefix(trait) == fullest]
         traits.sort(key=self._worth_keeping)
         for trait in traits[: math.ceil(count * _FORGOTTEN_SHARE)]:
             self._drop(trait)
--- a/src/violethatch/wire.py
+++ b/src/violethatch/wire.py
@@ -139,7 +139,7 @@
     argument: str
 
 
-class Ordered(NamedTuple):
+class OrderResult(NamedTuple):
     """What became of an order."""
 
     order_id: int
@@ -183,7 +183,7 @@
     data: bytes
 
 
-class Imported(NamedTuple):
+class ImportResult(NamedTuple):
     """What became of a cache that was given to an engine."""
 
     request: str
@@ -219,8 +219,8 @@
 decode_order = msgspec.msgpack.Decoder(Order).decode
 decode_export = msgspec.msgpack.Decoder(Export).decode
 decode_cache = msgspec.msgpack.Decoder(Cache).decode
-decode_imported = msgspec.msgpack.Decoder(Imported).decode
-decode_ordered = msgspec.msgpack.Decoder(Ordered).decode
+decode_import_result = msgspec.msgpack.Decoder(ImportResult).decode
+decode_order_result = msgspec.msgpack.Decoder(OrderResult).decode
 decode_prompt = msgspec.msgpack.Decoder(tuple[str, list[int]]).decode
 
 
--- a/src/violethatch/work_ids.py
+++ b/src/violethatch/work_ids.py
@@ -52,7 +52,7 @@
     return whose.hexdigest() + what.hexdigest()
 
 
-def part_id(part: str, *, caller: str | None = None) -> str:
+def prompt_part_id(part: str, *, caller: str | None = None) -> str:
     """Return the id of a prompt's part.
 
     Args:
@@ -69,7 +69,7 @@
     return _PART_PREFIX + named + whose
 
 
-def is_part(trait: str) -> bool:
+def is_prompt_part(trait: str) -> bool:
     """Tell whether an id is that of a prompt's part.
 
     .. versionadded:: 26.7.0
@@ -77,7 +77,7 @@
     return trait.startswith(_PART_PREFIX)
 
 
-def part_of(trait: str) -> str:
+def prompt_part_prefix(trait: str) -> str:
     """Return what the ids of one part have in common for all callers.
 
     .. versionadded:: 26.7.0
@@ -85,7 +85,7 @@
     return trait[: 2 * (CALLER_BYTES + _PART_BYTES)]
 
 
-def caller_of(work: str) -> str:
+def caller_prefix(work: str) -> str:
     """Return the start of a work's id, which names its caller.
 
     The ids of prompts' parts all begin alike.
--- a/src/violethatch_emulator/engine.py
+++ b/src/violethatch_emulator/engine.py
@@ -213,12 +213,12 @@
         position = state.stack.next_position
         return wire.Cache(export.request, export.epoch, position, 0, data)
 
-    def _import(self, cache: wire.Cache) -> wire.Imported:
+    def _import(self, cache: wire.Cache) -> wire.ImportResult:
         """Take over a request with its cache."""
         state = self._states.get(cache.request)
         if self.leaving or (state is not None and state.epoch >= cache.epoch):
             refusal = wire.Refusal.LEAVING if self.leaving else wire.Refusal.STALE_EPOCH
-            return wire.Imported(cache.request, cache.epoch, refusal)
+            return wire.ImportResult(cache.request, cache.epoch, refusal)
         layers = self.options.layers
         stack = arithmetic.LayerStack(
             first=layers.first,
@@ -227,7 +227,7 @@
             next_position=cache.position,
         )
         self._states[cache.request] = _RequestState(cache.epoch, stack)
-        return wire.Imported(cache.request, cache.epoch, wire.Refusal.NONE)
+        return wire.ImportResult(cache.request, cache.epoch, wire.Refusal.NONE)
 
     async def _obey(self, order: wire.Order, link: _Link) -> None:
         """Carry out a fenced order."""
@@ -238,7 +238,7 @@
                 self.adapters.append(order.argument)
             elif order.action == "leave":
                 self.leaving = True
-        answer = wire.Ordered(order.order_id, accepted, self.fence.known_epoch)
+        answer = wire.OrderResult(order.order_id, accepted, self.fence.known_epoch)
         await link.send(wire.FrameKind.ORDERED, answer)
 
     async def _load_loop(self) -> None:
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -28,7 +28,7 @@
     """Never give up on a step."""
     from violethatch import _engine_link
 
-    _engine_link.EngineLink.sweep = lambda self, now_s: None
+    _engine_link.EngineLink.check_timeouts = lambda self, now_s: None
 
 
 def claims():
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -8,7 +8,7 @@
 import pytest
 
 from violethatch.suspicion import CrashSuspects, End, Hold
-from violethatch.work_ids import part_id, work_id
+from violethatch.work_ids import prompt_part_id, work_id
 
 
 def work(number=1, *, caller="clinic"):
@@ -95,8 +95,8 @@
         assert len(suspects.ends(WORK)) == 1
 
 
-PART, OTHER_PART = part_id("5c1e07a2"), part_id("91bd3f06")
-OWN_PART = part_id("5c1e07a2", caller="clinic")
+PART, OTHER_PART = prompt_part_id("5c1e07a2"), prompt_part_id("91bd3f06")
+OWN_PART = prompt_part_id("5c1e07a2", caller="clinic")
 
 
 def answered_then_ended():
@@ -153,7 +153,7 @@
         suspects = noted(
             *[end(name, of=of) for name in "abc" for of in (PART, OWN_PART)]
         )
-        others = part_id("5c1e07a2", caller="depot")
+        others = prompt_part_id("5c1e07a2", caller="depot")
         assert suspects.hold_for((work(1), PART, OWN_PART), now_s=1.0) is not None
         assert suspects.hold_for((work(2), PART, others), now_s=1.0) is None
 
@@ -162,8 +162,10 @@
         suspects = noted(*[end(name, of=PART) for name in "abc"])
         for name in "ab":
             suspects.note(end(name, of=OWN_PART), now_s=0.0)
-        suspects.note(end("c", of=part_id("5c1e07a2", caller="depot")), now_s=0.0)
-        third = part_id("5c1e07a2", caller="shop")
+        suspects.note(
+            end("c", of=prompt_part_id("5c1e07a2", caller="depot")), now_s=0.0
+        )
+        third = prompt_part_id("5c1e07a2", caller="shop")
         assert suspects.hold_for((PART, third), now_s=1.0) is not None
 
     def test_one_request_in_a_while_is_let_through(self):
@@ -209,7 +211,7 @@
     def test_one_callers_trial_of_a_turned_part_keeps_others_from_theirs(self):
         """After two outages the parts of all callers are held back."""
         suspects = CrashSuspects()
-        owns = [part_id("5c1e07a2", caller=one) for one in ("clinic", "depot")]
+        owns = [prompt_part_id("5c1e07a2", caller=one) for one in ("clinic", "depot")]
         for own in owns:
             suspects.clear(own, now_s=0.0)
             for number, at_s in enumerate((10.0, 10.4, 12.0)):
@@ -278,7 +280,7 @@
         for number, at_s in enumerate((10.0, 10.4, 12.0)):
             for part in (PART, OTHER_PART):
                 suspects.note(end(f"s{number}", of=part), now_s=at_s)
-        suspects.note_begun((part_id("third"),))
+        suspects.note_begun((prompt_part_id("third"),))
         assert suspects.hold_for((PART,), now_s=12.0) is None
         suspects.note_begun((OTHER_PART,))
         assert suspects.hold_for((PART,), now_s=12.0).trait == PART
@@ -344,7 +346,9 @@
             suspects.note(end(name, of=WORK), now_s=0.0)
             suspects.note(end(name + "2", of=PART), now_s=0.0)
         for number in range(1_000):
-            suspects.note(end("x", of=part_id(f"{number:x}")), now_s=float(number))
+            suspects.note(
+                end("x", of=prompt_part_id(f"{number:x}")), now_s=float(number)
+            )
         assert len(suspects) <= 50
         assert suspects.held(now_s=1.0) == [WORK, PART]
 
--- a/tests/test_engine_link.py
+++ b/tests/test_engine_link.py
@@ -58,7 +58,7 @@
         async with connected(base_s=0.3) as (link, _):
             future = link.submit(prompt_step("one"))
             await asyncio.sleep(0.05)
-            link.sweep(clocks.now_s() + 5.0)
+            link.check_timeouts(clocks.now_s() + 5.0)
             with pytest.raises(StageFailedError, match="stalled"):
                 await future
             assert link.is_stalled
@@ -82,7 +82,7 @@
         async with connected(base_s=0.02, batch_limit=1) as (link, _):
             futures = [link.submit(prompt_step(f"q{n}")) for n in range(20)]
             await futures[0]
-            link.sweep(clocks.now_s())
+            link.check_timeouts(clocks.now_s())
             results = await asyncio.gather(*futures)
             assert [result.refusal for result in results] == [0] * 20
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -237,7 +237,7 @@
             datagrams.datagram_received(msgspec.msgpack.encode(fields), None)
         assert not made.routing.slow_runners.slow(now_s=clocks.now_s())
         assert made.routing.loads.others.pipe_ms_per_s == 0.0
-        assert made.routing.retries.give_retries("model", 0.0) == 0.0
+        assert made.routing.retries.grant_retries("model", 0.0) == 0.0
 
 
 def test_table_takes_an_unusable_entry_out_at_once():
--- a/tests/test_part_replay.py
+++ b/tests/test_part_replay.py
@@ -14,7 +14,7 @@
 import simpy
 
 from violethatch.suspicion import PROBE_S, CrashSuspects, End
-from violethatch.work_ids import part_id, work_id
+from violethatch.work_ids import prompt_part_id, work_id
 
 
 #: How long a request waits for its first event, and how long its answer takes, in
@@ -53,8 +53,8 @@
         body = b"%d" % next(self._numbers)
         work = work_id(caller=caller, method="POST", host="h", target="/", body=body)
         self.work = work
-        self.part_ids = [part_id(one) for one in parts]
-        self.part_ids += [part_id(one, caller=caller) for one in parts]
+        self.part_ids = [prompt_part_id(one) for one in parts]
+        self.part_ids += [prompt_part_id(one, caller=caller) for one in parts]
 
     @property
     def is_deadly(self):
--- a/tests/test_parts_that_end_servers.py
+++ b/tests/test_parts_that_end_servers.py
@@ -20,7 +20,7 @@
 from test_registration import FakeStore
 from violethatch import clocks
 from violethatch.suspicion import CrashSuspects
-from violethatch.work_ids import part_id
+from violethatch.work_ids import prompt_part_id
 
 
 #: Requests a second, and for how long they come, in seconds.
@@ -288,7 +288,7 @@
     servers.script = [0.1, events(1), 0.02, events(2)]
     fleet = Fleet(1, servers)
     router = fleet.routers[0]
-    part, begin_s = part_id("a"), clocks.now_s()
+    part, begin_s = prompt_part_id("a"), clocks.now_s()
     router.routing.suspects.clear(part, now_s=begin_s)
     for name in "ab":
         router.routing.suspects.note(end(name, of=part), now_s=begin_s)
--- a/tests/test_plain_calls.py
+++ b/tests/test_plain_calls.py
@@ -102,7 +102,7 @@
         **changes,
     )
     routing = make_routing(client, *servers, rng=random.Random(1))
-    routing.retries.may_retry = may_retry or routing.retries.may_retry
+    routing.retries.acquire_retry = may_retry or routing.retries.acquire_retry
     call = PlainCall(routing, make_call(timeout_s=wait_s), admitted(route))
     responder = FakeResponder()
     async with asyncio.timeout(10):
--- a/tests/test_repeated_reads.py
+++ b/tests/test_repeated_reads.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from violethatch._repeated_reads import RepeatedReads
+from violethatch._retrying_reader import RetryingReader
 from violethatch.errors import ReadLostError, TableUnavailableError
 from violethatch.store_era import NO_ERA
 from violethatch.upstream import TableView
@@ -44,7 +44,7 @@
 async def test_long_read_stays_on_a_connection_that_fell_silent_with_another():
     """The instances' table would be read again only after its wait of 20 s."""
     store, lost = SilentStore(), []
-    reads = RepeatedReads(store, on_lost=lost.append)
+    reads = RetryingReader(store, on_read_lost=lost.append)
     async with asyncio.timeout(2):
         versions = await asyncio.gather(
             read(reads, "instances", 20.0), read(reads, "op", 1.0)
@@ -57,7 +57,7 @@
 async def test_read_is_repeated_without_end():
     """A second loss is for the caller to deal with."""
     store = SilentStore()
-    reads = RepeatedReads(store, on_lost=lambda _table: None)
+    reads = RetryingReader(store, on_read_lost=lambda _table: None)
 
     async def lose(*_args, **_options):
         store.asked.append("lost")
@@ -79,5 +79,5 @@
 
     store.read_changes = refuse
     with pytest.raises(TableUnavailableError):
-        await read(RepeatedReads(store, on_lost=lambda _table: None), "op", 1.0)
+        await read(RetryingReader(store, on_read_lost=lambda _table: None), "op", 1.0)
     assert store.asked == ["refused"]
--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -45,9 +45,9 @@
         """They last a short time; the own part stays."""
         one = share(64)
         one.take(1.0, now_s=0.0)
-        own = one.own.balance
+        own = one.own_budget.balance
         assert one.withdraw(now_s=0.1)
-        assert one.own.balance == own
+        assert one.own_budget.balance == own
 
     def test_parts_of_gifts_add_up(self):
         """Where each has less than one retry, several make one."""
@@ -61,23 +61,23 @@
     def test_gifts_end(self):
         """What was given is not saved up beside what the giver earns anew."""
         one = share(64)
-        one.own.balance = 0.0
+        one.own_budget.balance = 0.0
         one.take(5.0, now_s=0.0)
         assert not one.withdraw(now_s=GIFT_LIFE_S)
 
     def test_given_is_taken_off(self):
         """Giving moves retries, and makes none."""
         one = share(64)
-        before = one.own.balance
-        assert one.give(8.0) == pytest.approx(before / 2)
-        assert one.own.balance == pytest.approx(before / 2)
+        before = one.own_budget.balance
+        assert one.grant(8.0) == pytest.approx(before / 2)
+        assert one.own_budget.balance == pytest.approx(before / 2)
 
     def test_gifts_are_not_passed_on(self):
         """They could go round, and never end."""
         one = share(64)
-        one.own.balance = 0.0
+        one.own_budget.balance = 0.0
         one.take(5.0, now_s=0.0)
-        assert one.give(8.0) == 0.0
+        assert one.grant(8.0) == 0.0
 
 
 class Fleet:
@@ -93,7 +93,7 @@
     def request(self, at_s, who):
         """Note a request of an instance."""
         self.requests.append(at_s)
-        self.shares[who].own.deposit()
+        self.shares[who].own_budget.deposit()
 
     def retry(self, at_s, who, cut):
         """Try a retry; without one, ask others, of whose answers some are lost."""
@@ -102,7 +102,7 @@
             for other in self.rng.sample(range(len(self.shares)), k=6):
                 if other == who or other in cut:
                     continue
-                given = self.shares[other].give(8.0)
+                given = self.shares[other].grant(8.0)
                 if given and self.rng.random() < 0.9:
                     one.take(given, now_s=at_s)
         if one.withdraw(now_s=at_s):
@@ -205,12 +205,12 @@
         self.left = left
         self.taken = 0.0
 
-    def give_retries(self, _service, wanted):
+    def grant_retries(self, _service, wanted):
         given = min(wanted, self.left / 2)
         self.left -= given
         return given
 
-    def take_retries(self, _service, amount):
+    def receive_retries(self, _service, amount):
         self.taken += amount
 
 
@@ -221,7 +221,7 @@
         name: RetryLink(wire.end(name), account, rng=random.Random(7))
         for name, account in accounts.items()
     }
-    asking = asyncio.create_task(links["i0"].ask("model"))
+    asking = asyncio.create_task(links["i0"].request("model"))
     await asyncio.sleep(0)
     wire.deliver(times=times)
     wire.deliver(times=times)
@@ -252,7 +252,7 @@
             for name, account in accounts.items()
         }
         for _ in range(3):
-            asking = asyncio.create_task(links["i0"].ask("model"))
+            asking = asyncio.create_task(links["i0"].request("model"))
             await asyncio.sleep(0)
             wire.deliver()
             wire.deliver()
@@ -268,7 +268,7 @@
             wire = Wire(3)
             account = Account()
             link = RetryLink(wire.end("i0"), account, rng=random.Random(7))
-            asking = asyncio.create_task(link.ask("model"))
+            asking = asyncio.create_task(link.request("model"))
             await asyncio.sleep(0.001)
             number = wire.sent[0][1].number
             gift = RetryGiftDatagram("t0", "i1", number, 3.0)
@@ -286,7 +286,7 @@
             name: RetryLink(wire.end(name), Account(2.0), rng=random.Random(7))
             for name in wire.entries
         }
-        asking = asyncio.create_task(links["i0"].ask("model"))
+        asking = asyncio.create_task(links["i0"].request("model"))
         await asyncio.sleep(0)
         wire.sent.clear()
         time.sleep(0.6)
@@ -302,7 +302,7 @@
         wire = Wire(3)
         account = Account()
         link = RetryLink(wire.end("i0"), account, rng=random.Random(7))
-        await link.ask("model")
+        await link.request("model")
         number = wire.sent[0][1].number
         await asyncio.sleep(0.01)
         wire.takers["i0", RetryGiftDatagram](RetryGiftDatagram("t0", "i1", number, 3.0))
@@ -311,7 +311,9 @@
     async def test_nobody_to_ask(self):
         """An instance alone goes on at once."""
         wire = Wire(1)
-        await RetryLink(wire.end("i0"), Account(), rng=random.Random(7)).ask("model")
+        await RetryLink(wire.end("i0"), Account(), rng=random.Random(7)).request(
+            "model"
+        )
         assert wire.sent == []
 
     async def test_unknown_asker_costs_its_retries(self):
--- a/tests/test_runs_beside.py
+++ b/tests/test_runs_beside.py
@@ -146,7 +146,7 @@
         async def may_retry(_service):
             return asyncio.get_running_loop().time() - begun_s > 0.35
 
-        routing.retries.may_retry = may_retry
+        routing.retries.acquire_retry = may_retry
         got = SlowCaller(finish_s=finish_s)
         await serve(StreamCall(routing, make_call(), admitted()), got)
         assert (got.body, got.end) == (events(1, 2), "whole")
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -153,7 +153,7 @@
         got, _ = await serve(client, A, B, retry_reserve=1, retry_part=0)
         assert got.end == "whole"
         routing = make_routing(client, A, B, rng=random.Random(1), retry_part=0)
-        while await routing.retries.may_retry("model"):
+        while await routing.retries.acquire_retry("model"):
             pass
         client.answers = [FakeAnswer(events(1), ANSWER_LOST), FakeAnswer(events(2))]
         responder = FakeResponder()
@@ -476,7 +476,7 @@
         """The retry budget is used up."""
         client = FakeClient(FakeAnswer(events(1), 0.6, events(2)))
         routing = make_routing(client, A, B, rng=random.Random(1), retry_part=0)
-        while await routing.retries.may_retry("model"):
+        while await routing.retries.acquire_retry("model"):
             pass
         responder = FakeResponder()
         await StreamCall(routing, make_call(), admitted()).serve(responder)
--- a/tests/test_suspect_link.py
+++ b/tests/test_suspect_link.py
@@ -13,7 +13,7 @@
 from violethatch import clocks
 from violethatch._peer_datagrams import EndsDatagram
 from violethatch.suspicion import CrashSuspects, End, SuspectLink, _link
-from violethatch.work_ids import part_id
+from violethatch.work_ids import prompt_part_id
 from virtual_time import in_virtual_time
 
 
@@ -197,7 +197,7 @@
         told = Told(350)
         for number in range(96):
             for part in range(3):
-                told.see(number, "s1", of=part_id(f"{part}"))
+                told.see(number, "s1", of=prompt_part_id(f"{part}"))
         await asyncio.sleep(1.0)
         assert told.network.sent <= 96 * 3 * 3 * 2
 
--- a/tests/test_word_gate.py
+++ b/tests/test_word_gate.py
@@ -303,13 +303,13 @@
             refused_answer(), KeptBackError("rest", 1.0), FakeAnswer(events(1))
         )
         routing = make_routing(client, a, b, rng=random.Random(1), retry_reserve="5")
-        before = routing.retries.budget("model").own.balance
+        before = routing.retries.budget("model").own_budget.balance
         responder = FakeResponder()
         stream = StreamCall(routing, make_call(), admitted())
         await stream.serve(responder)
         assert responder.end == "whole"
         assert stream.sends == 2
-        assert routing.retries.budget("model").own.balance == pytest.approx(
+        assert routing.retries.budget("model").own_budget.balance == pytest.approx(
             before - 1.0
         )
 
@@ -635,10 +635,10 @@
             routing = made[0].router.routing
             for server in servers[:-1]:
                 hear(made[0], server, LIMITED)
-            before = routing.retries.budget("model").own.balance
+            before = routing.retries.budget("model").own_budget.balance
             got = [await made[0].ask() for _ in range(5)]
             assert all(one.end == "whole" for one in got)
-            assert routing.retries.budget("model").own.balance >= before
+            assert routing.retries.budget("model").own_budget.balance >= before
 
     async def test_limit_is_over(self):
         """The first answer that names none ends it; its server is left for a while."""
--- a/tests/test_work_ids.py
+++ b/tests/test_work_ids.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from violethatch.work_ids import caller_of, work_id
+from violethatch.work_ids import caller_prefix, work_id
 
 
 SAMPLE = {
@@ -46,5 +46,7 @@
     def test_callers_are_told_apart_by_the_first_part(self):
         """What is kept can be counted for each caller."""
         other = work_id(**SAMPLE | {"body": b""})
-        assert caller_of(other) == caller_of(work_id(**SAMPLE))
-        assert caller_of(work_id(**SAMPLE | {"caller": "d"})) != caller_of(other)
+        assert caller_prefix(other) == caller_prefix(work_id(**SAMPLE))
+        assert caller_prefix(work_id(**SAMPLE | {"caller": "d"})) != caller_prefix(
+            other
+        )
--- a/tests/test_work_in_hand.py
+++ b/tests/test_work_in_hand.py
@@ -9,7 +9,7 @@
 from routing_samples import runner
 from violethatch import clocks, upstream
 from violethatch.suspicion import End, WorkInHand
-from violethatch.work_ids import part_id
+from violethatch.work_ids import prompt_part_id
 
 
 A = runner("a", 0, 80)
@@ -70,7 +70,7 @@
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         now_s = clocks.now_s()
         for name in "abc":
-            end = End(part_id("5c1e07a2"), name, False, "i")
+            end = End(prompt_part_id("5c1e07a2"), name, False, "i")
             routing.suspects.note(end, now_s=now_s)
         work = work_in_hand(routing, prompt_parts=("5c1e07a2",))
         assert work.held_back().retry_after_s == 1.0
@@ -82,7 +82,7 @@
         routing = make_routing(FakeClient(), A, rng=random.Random(1))
         then_s = clocks.now_s() - 40.0
         for name in "abc":
-            end = End(part_id("5c1e07a2"), name, False, "i")
+            end = End(prompt_part_id("5c1e07a2"), name, False, "i")
             routing.suspects.note(end, now_s=then_s)
         first, second = (
             work_in_hand(routing, body=body, prompt_parts=("5c1e07a2",))
@@ -95,7 +95,7 @@
         assert not first.is_held
         assert second.is_held
         routing.suspects.note(
-            End(part_id("5c1e07a2"), "d", False, "i"), now_s=clocks.now_s()
+            End(prompt_part_id("5c1e07a2"), "d", False, "i"), now_s=clocks.now_s()
         )
         assert first.is_held
 
