--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -208,7 +208,7 @@
         """Return how many streams run."""
         return self.streams
 
-    def fullness_of_first(self, _service: ServiceSpec, _path: Path) -> float:
+    def first_server_utilization(self, _service: ServiceSpec, _path: Path) -> float:
         """Return that runners are full."""
         return 1.0
 
@@ -220,15 +220,15 @@
         """Return the age of sums."""
         return 0.8
 
-    def are_known(self) -> bool:
+    def has_peers(self) -> bool:
         """Return that there are others."""
         return True
 
-    def heard(self) -> int:
+    def instance_count(self) -> int:
         """Return how many."""
         return 349
 
-    def slot(
+    def schedule_retry(
         self,
         _service: str,
         _work: str,
@@ -291,7 +291,7 @@
     )
     services = {"model": ServiceSpec("model", 1000, _ENGINE)}
     desired = _Desired(services, {}, (route(0), route(_LEVEL)))
-    made.take_desired(cast("Any", desired))
+    made.apply_desired_state(cast("Any", desired))
     return made
 
 
@@ -438,7 +438,7 @@
 
     def admitter() -> Admitter:
         made = Admitter()
-        plan = Planner(policy=WorkspacePolicy({}, 0.5)).plan_alone(
+        plan = Planner(policy=WorkspacePolicy({}, 0.5)).plan_from_local_load(
             {0: 1.0, 20: 1.0}, in_target_part=None, now_s=0.0
         )
         for n in range(MOST_WORKS):
--- a/bench/intake_costs.py
+++ b/bench/intake_costs.py
@@ -233,7 +233,7 @@
     assert made.desired is not None
     desired = made.desired
     admission = made.routing.admission
-    yield "admission", lambda: admission.take_desired(desired)
+    yield "admission", lambda: admission.apply_desired_state(desired)
     service = desired.services["model"]
     yield "the state taken in once more", lambda: made.apply_desired_state(view, True)
     views = iter(
--- a/src/violethatch/_admission.py
+++ b/src/violethatch/_admission.py
@@ -78,14 +78,14 @@
         self._desired: DesiredState | None = None
         self._services: dict[str, GovernedService] = {}
 
-    def take_settings(self, section: AdmissionSection) -> None:
+    def apply_settings(self, section: AdmissionSection) -> None:
         """Take changed settings in."""
         self.section = section
         for service in self._services.values():
             service.take_section(section)
         self._govern()
 
-    def take_desired(self, desired: DesiredState) -> None:
+    def apply_desired_state(self, desired: DesiredState) -> None:
         """Take a desired state in: it says which services are governed."""
         self._desired = desired
         self._govern()
@@ -190,19 +190,19 @@
         slot_s = governed.slot_s(request, reason="no_path")
         return max(slot_s, blocked_s)
 
-    def began(self, service: str) -> None:
+    def stream_started(self, service: str) -> None:
         """Count an admitted stream in, until it is over."""
         governed = self._services.get(service)
         if governed is not None:
             governed.own_running += 1
 
-    def over(self, service: str) -> None:
+    def stream_finished(self, service: str) -> None:
         """Count an admitted stream out, however it has ended."""
         governed = self._services.get(service)
         if governed is not None:
             governed.own_running = max(0, governed.own_running - 1)
 
-    def ended(self, service: str, *, is_in_target: bool) -> None:
+    def record_outcome(self, service: str, *, is_in_target: bool) -> None:
         """Note whether a stream of this instance came within its targets."""
         governed = self._services.get(service)
         if governed is not None:
--- a/src/violethatch/_admission_ports.py
+++ b/src/violethatch/_admission_ports.py
@@ -14,7 +14,7 @@
 from .turning_away import come_back_s
 
 
-class SummedDemand:
+class AggregatedPeerDemand:
     """What other instances are asked for, as their sums of loads tell it.
 
     Args:
@@ -34,16 +34,16 @@
         """Return the age of that sum in seconds, or None without any."""
         return self._loads.others_age_s(now_s=clocks.now_s())
 
-    def are_known(self) -> bool:
+    def has_peers(self) -> bool:
         """Tell whether other instances are known to serve."""
         return self._instances() > 1
 
-    def heard(self) -> int:
+    def instance_count(self) -> int:
         """Return how many other instances are in the sum."""
         return self._loads.others.instances
 
 
-class SpreadReturns:
+class JitteredRetryScheduler:
     """Spreads refused callers over time, with nothing reserved.
 
     Args:
@@ -53,7 +53,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def slot(
+    def schedule_retry(
         self,
         _service: str,
         _work: str,
--- a/src/violethatch/_admission_types.py
+++ b/src/violethatch/_admission_types.py
@@ -46,7 +46,7 @@
     def running(self, service: ServiceSpec) -> int:
         """Return the streams of all instances at the usable runners."""
 
-    def fullness_of_first(self, service: ServiceSpec, path: Path) -> float:
+    def first_server_utilization(self, service: ServiceSpec, path: Path) -> float:
         """Return the part of a path's first runner that is taken."""
 
 
@@ -59,17 +59,17 @@
     def age_s(self) -> float | None:
         """Return the age of that sum in seconds, or None without any."""
 
-    def are_known(self) -> bool:
+    def has_peers(self) -> bool:
         """Tell whether other instances are known to serve."""
 
-    def heard(self) -> int:
+    def instance_count(self) -> int:
         """Return how many other instances are in the sum."""
 
 
 class Returns(Protocol):
     """Reserves starts for refused callers."""
 
-    def slot(
+    def schedule_retry(
         self,
         service: str,
         work: str,
@@ -103,20 +103,20 @@
 class AdmissionObserver(Protocol):
     """Counts what admission does."""
 
-    def refused_start(self, priority: int, reason: str) -> None:
+    def record_refusal(self, priority: int, reason: str) -> None:
         """Count a refusal."""
 
-    def waited(self, wait_s: float) -> None:
+    def record_wait(self, wait_s: float) -> None:
         """Count a wait, in seconds."""
 
 
 class Unobserved:
     """Counts nothing."""
 
-    def refused_start(self, priority: int, reason: str) -> None:
+    def record_refusal(self, priority: int, reason: str) -> None:
         """Count nothing."""
 
-    def waited(self, wait_s: float) -> None:
+    def record_wait(self, wait_s: float) -> None:
         """Count nothing."""
 
 
--- a/src/violethatch/_entry.py
+++ b/src/violethatch/_entry.py
@@ -25,7 +25,7 @@
 from ._driver import Driver
 from ._engine_link import EngineLink
 from ._fleet import Fleet, RunnerState
-from ._jobs import AdapterKeeper, LeaseKeeper
+from ._jobs import AdapterLoader, LeaseHolder
 from ._keyed import KeyedCalls
 from ._listener import Listener
 from ._metrics import Metrics
@@ -205,7 +205,7 @@
             write=lambda put: reply_to(self._local_writer, put),
             connections=settings.limits.connections,
         )
-        self._lease = LeaseKeeper(
+        self._lease = LeaseHolder(
             table,
             Lease(
                 row_key=f"lease/{settings.instance.availability_zone}/{_ORDERS_JOB}",
@@ -215,7 +215,7 @@
             ),
             is_chosen=lambda: self._has_job(_ORDERS_JOB),
         )
-        self._adapters = AdapterKeeper(
+        self._adapters = AdapterLoader(
             self._lease,
             links=self._zone_links,
             adapters=self._declared_adapters,
--- a/src/violethatch/_governed_service.py
+++ b/src/violethatch/_governed_service.py
@@ -131,7 +131,7 @@
         }
         self._room = admission.capacity.room(self._spec, self._targets)
         self._running = max(admission.capacity.running(self._spec), round(summed))
-        self._age_s = peers.age_s() if peers.are_known() else 0.0
+        self._age_s = peers.age_s() if peers.has_peers() else 0.0
         in_target_part = self._in_target_part(now_s=now_s)
         is_stale = self._age_s is None or self._age_s > STALE_S
         has_room = self._room.streams > 0.0
@@ -140,7 +140,7 @@
             # Searches for paths tell these apart; without any, they are refused.
             plan = OPEN
         elif is_stale or not has_room:
-            plan = self._planner.plan_alone(
+            plan = self._planner.plan_from_local_load(
                 self._demand, in_target_part=in_target_part, now_s=now_s
             )
         else:
@@ -251,7 +251,7 @@
                 self._queue.remove(call.id)
                 del self._waiters[call.id]
         waited_s = clocks.now_s() - now_s
-        self._admission.observer.waited(waited_s)
+        self._admission.observer.record_wait(waited_s)
         events.log(
             events.START_DELAYED,
             request_id=call.id,
@@ -265,7 +265,7 @@
 
     def slot_s(self, request: StartRequest, *, reason: str) -> float:
         """Return in how many seconds a caller should come back, and count it."""
-        self._admission.observer.refused_start(request.priority, reason)
+        self._admission.observer.record_refusal(request.priority, reason)
         slot = self._slot(request)
         left_s = max(0.0, slot.at_s - clocks.now_s())
         if slot.is_reserved:
@@ -335,7 +335,7 @@
         """Return a path if its first runner starts a stream within the target."""
         if path is None:
             return None
-        fullness = self._admission.capacity.fullness_of_first(self._spec, path)
+        fullness = self._admission.capacity.first_server_utilization(self._spec, path)
         stream_s = self._room.stream_s if self._room is not None else 0.0
         queued_part = _RUNNER_QUEUE_PART * target_s / max(stream_s, 1.0)
         return path if fullness < 1.0 + queued_part else None
@@ -392,7 +392,7 @@
     def _slot(self, request: StartRequest) -> Slot:
         """Reserve a start for a refused caller."""
         left_s = clocks.left_s(request.call.deadline_s)
-        return self._admission.returns.slot(
+        return self._admission.returns.schedule_retry(
             self._spec.name,
             request.work,
             request.priority,
@@ -404,14 +404,14 @@
         """Return this instance's part of the starts that the runners can take."""
         if self._room is None:
             return 0.0
-        return self._room.starts_per_s / (1 + self._admission.peers.heard())
+        return self._room.starts_per_s / (1 + self._admission.peers.instance_count())
 
     def _refusal(
         self, request: StartRequest, retry_after_s: float, *, reason: str, is_kept: bool
     ) -> NotAdmittedError:
         """Return a refusal, and log what decided it."""
         retry_after_s = round(max(0.0, retry_after_s), 2)
-        self._admission.observer.refused_start(request.priority, reason)
+        self._admission.observer.record_refusal(request.priority, reason)
         events.log(
             events.START_REFUSED,
             request_id=request.call.id,
--- a/src/violethatch/_jobs.py
+++ b/src/violethatch/_jobs.py
@@ -25,7 +25,7 @@
 _RENEWALS_PER_LEASE = 3.0
 
 
-class LeaseKeeper:
+class LeaseHolder:
     """Holds one job's lease while this instance is chosen for the job.
 
     Args:
@@ -98,7 +98,7 @@
     adapter: str
 
 
-class AdapterKeeper:
+class AdapterLoader:
     """Orders the zone's runners to load the adapters that models declare.
 
     Loading an adapter is harmless when repeated or late, so it may also be
@@ -114,7 +114,7 @@
 
     def __init__(
         self,
-        lease: LeaseKeeper,
+        lease: LeaseHolder,
         *,
         links: Callable[[], list[EngineLink]],
         adapters: Callable[[], Mapping[str, list[str]]],
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -318,7 +318,7 @@
             if one.id not in gone
         )
 
-    def fullness_of_first(self, service: ServiceSpec, path: Path) -> float:
+    def first_server_utilization(self, service: ServiceSpec, path: Path) -> float:
         """Return the part of a path's first runner that is taken."""
         assert service.engine is not None
         return self._loads.fullness(path.first, service.engine, now_s=clocks.now_s())
--- a/src/violethatch/_return_link.py
+++ b/src/violethatch/_return_link.py
@@ -93,7 +93,7 @@
         datagrams.on(ClaimDatagram, self._on_claim)
         datagrams.on(ClaimedDatagram, self._on_result)
 
-    def slot(
+    def schedule_retry(
         self,
         service: str,
         work: str,
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -370,7 +370,7 @@
         with slices.at_one_go():
             self.desired = state
             self._desired_value = view.values["config"]
-            self.routing.admission.take_desired(state)
+            self.routing.admission.apply_desired_state(state)
         self.metrics.state_taken(slices.took_s, slices.longest_s)
         self.record_start_step(Step.DESIRED_STATE)
         events.log(
--- a/src/violethatch/_router_metrics.py
+++ b/src/violethatch/_router_metrics.py
@@ -248,11 +248,11 @@
         """Count a pause of the event loop."""
         self.loop_pause_s.observe({}, pause_s)
 
-    def refused_start(self, priority: int, reason: str) -> None:
+    def record_refusal(self, priority: int, reason: str) -> None:
         """Count a stream that was not admitted."""
         self.admission_refusals.inc({"priority": str(priority), "reason": reason})
 
-    def waited(self, wait_s: float) -> None:
+    def record_wait(self, wait_s: float) -> None:
         """Count how long a stream waited for a path with room."""
         self.admission_wait_s.observe({}, wait_s)
 
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -11,7 +11,7 @@
 
 from . import clocks, events
 from ._admission import Admission
-from ._admission_ports import SpreadReturns, SummedDemand
+from ._admission_ports import AggregatedPeerDemand, JitteredRetryScheduler
 from ._flow_control import FlowController
 from ._path_choice import BlockedTime, PathSelector
 from ._probes import Probes
@@ -139,8 +139,10 @@
         self.admission = Admission(
             settings.admission,
             capacity=self._paths,
-            peers=SummedDemand(self.loads, instances=lambda: self.instance_count()),
-            returns=SpreadReturns(rng),
+            peers=AggregatedPeerDemand(
+                self.loads, instances=lambda: self.instance_count()
+            ),
+            returns=JitteredRetryScheduler(rng),
             phase=rng.random(),
         )
         self.loads.own_demand = self.admission.demand
@@ -152,7 +154,7 @@
         self.backends.leaving_s = settings.bounds.leaving_s
         self.health.stall_s = settings.bounds.stall_s
         self.silence_detector.max_silence_s = settings.policy.gap_limit_s
-        self.admission.take_settings(settings.admission)
+        self.admission.apply_settings(settings.admission)
 
     def path(
         self,
--- a/src/violethatch/admission_plan.py
+++ b/src/violethatch/admission_plan.py
@@ -220,7 +220,7 @@
             result = self._shared(result, heavy, offered_per_s, left_per_s)
         return self._keep(result, now_s=now_s)
 
-    def plan_alone(
+    def plan_from_local_load(
         self,
         demand: Mapping[int, float],
         *,
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -148,13 +148,13 @@
         if not self._work.is_held and self._call.last_event_id is None:
             self._is_reserved = await admission.admit(self._service.name, self._request)
         self._routing.record_stream_start()
-        admission.began(self._service.name)
+        admission.stream_started(self._service.name)
         try:
             return await self._serve_admitted(responder)
         finally:
-            admission.over(self._service.name)
+            admission.stream_finished(self._service.name)
             if self.runs:
-                admission.ended(
+                admission.record_outcome(
                     self._service.name, is_in_target=self.output.is_in_target
                 )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -59,7 +59,7 @@
     def running(self, _service):
         return self.streams
 
-    def fullness_of_first(self, _service, _path):
+    def first_server_utilization(self, _service, _path):
         return self.first_fullness
 
 
@@ -76,10 +76,10 @@
     def age_s(self):
         return self.old_s
 
-    def are_known(self):
+    def has_peers(self):
         return True
 
-    def heard(self):
+    def instance_count(self):
         return 7
 
 
@@ -90,7 +90,7 @@
         self.claims = {}
         self.slots = []
 
-    def slot(self, _service, work, priority, *, starts_per_s, most_s):
+    def schedule_retry(self, _service, work, priority, *, starts_per_s, most_s):
         self.slots.append((work, priority, starts_per_s, most_s))
         return Slot(clocks.now_s() + 1.0, is_reserved=True)
 
@@ -116,7 +116,7 @@
             returns=self.returns,
             phase=0.5,
         )
-        self.admission.take_desired(state)
+        self.admission.apply_desired_state(state)
 
     def overload(self):
         """Fill the runners, and let all others ask for twice what ends."""
@@ -175,7 +175,7 @@
         bench.runners.first_fullness = 2.0
         waiting = asyncio.create_task(bench.path(lambda: PATH))
         await asyncio.sleep(0)
-        bench.admission.take_settings(AdmissionSection(mode=AdmissionMode.OFF))
+        bench.admission.apply_settings(AdmissionSection(mode=AdmissionMode.OFF))
         async with asyncio.timeout(1):
             assert await waiting is PATH or waiting.result() is None
         assert not bench.admission.is_governed("model")
@@ -254,7 +254,7 @@
         now_s = clocks.now_s()
         for number in range(2000):
             monkeypatch.setattr(clocks, "now_s", lambda n=number: now_s + n / 100)
-            bench.admission.ended("model", is_in_target=True)
+            bench.admission.record_outcome("model", is_in_target=True)
         assert len(bench.admission._services["model"]._outcomes) <= 201
 
     async def test_reload_keeps_what_own_observations_have_reduced(self, monkeypatch):
@@ -266,11 +266,11 @@
         for number in range(40):
             monkeypatch.setattr(clocks, "now_s", lambda n=number: now_s + n / 4)
             for _ in range(5):
-                bench.admission.ended("model", is_in_target=False)
+                bench.admission.record_outcome("model", is_in_target=False)
             bench.admission.refresh()
         before = bench.admission.states()["model"].plan.parts[LEAST]
         assert before == pytest.approx(0.2)
-        bench.admission.take_settings(AdmissionSection(queue_requests=8))
+        bench.admission.apply_settings(AdmissionSection(queue_requests=8))
         bench.admission.refresh()
         assert bench.admission.states()["model"].plan.parts[LEAST] == before
 
@@ -278,7 +278,7 @@
         bench = Bench()
         bench.peers.old_s = 5.0
         for _ in range(20):
-            bench.admission.ended("model", is_in_target=False)
+            bench.admission.record_outcome("model", is_in_target=False)
         for _ in range(60):
             assert await bench.admits(LEAST)  # counted as demand
             break
@@ -304,7 +304,7 @@
         rates = {DemandKey(MODEL, MOST): 20.0, DemandKey(MODEL, LEAST): 80.0}
         bench.peers.sum = Demand(rates, {})
         for _ in range(20):
-            bench.admission.ended("model", is_in_target=False)
+            bench.admission.record_outcome("model", is_in_target=False)
         bench.admission.refresh()
         admitted = [await bench.admits(LEAST) for _ in range(100)]
         assert all([await bench.admits(MOST) for _ in range(10)])
@@ -315,7 +315,7 @@
         bench = Bench()
         bench.peers.old_s = None
         for _ in range(20):
-            bench.admission.ended("model", is_in_target=True)
+            bench.admission.record_outcome("model", is_in_target=True)
         bench.admission.refresh()
         assert all([await bench.admits(LEAST) for _ in range(60)])
 
@@ -336,8 +336,8 @@
         """Sums by server lag: with 449 streams running, instances knew of 77 to 250."""
         bench = Bench()
         for _ in range(3):
-            bench.admission.began("model")
-        bench.admission.over("model")
+            bench.admission.stream_started("model")
+        bench.admission.stream_finished("model")
         running = DemandKey(MODEL, RUNNING)
         assert bench.admission.demand().offers_per_s == {running: 2.0}
         bench.peers.sum = Demand({running: 300.0}, {})
@@ -547,7 +547,7 @@
                 for n in range(4)
             ]
             await asyncio.sleep(0.01)
-            bench.admission.take_settings(AdmissionSection(queue_requests=1))
+            bench.admission.apply_settings(AdmissionSection(queue_requests=1))
             await asyncio.sleep(0.001)
             return [one.done() for one in waits]
 
@@ -567,7 +567,7 @@
 def overloaded(client):
     """Return the views of a full instance, and a call of the least urgent route."""
     routing = make_routing(client, runner("a", 0, 80), rng=random.Random(1))
-    routing.admission.take_desired(STATE)
+    routing.admission.apply_desired_state(STATE)
     routing.admission.capacity = runners = Runners()
     runners.streams = 1000
     routing.admission.peers = peers = Peers()
@@ -599,7 +599,7 @@
 
     async def test_no_path_reserves_a_start(self):
         routing = make_routing(FakeClient(), rng=random.Random(1))
-        routing.admission.take_desired(STATE)
+        routing.admission.apply_desired_state(STATE)
         routing.admission.returns = returns = Returns()
         admitted = STATE.admit(
             host="menu.example", path="/urgent/1", key="key-1", call_id="c1"
--- a/tests/test_admission_plan.py
+++ b/tests/test_admission_plan.py
@@ -149,7 +149,7 @@
         level = self.plan.level
         if age_s > 2.0:
             part = sum(self.in_target) / len(self.in_target)
-            self.plan = self.planner.plan_alone(
+            self.plan = self.planner.plan_from_local_load(
                 demand, in_target_part=part, now_s=now_s
             )
         else:
@@ -604,7 +604,9 @@
         planner = planner or Planner(policy=EQUAL)
         demand = demand or {0: 10.0, 1: 10.0, 2: 10.0}
         return [
-            planner.plan_alone(demand, in_target_part=part, now_s=float(second))
+            planner.plan_from_local_load(
+                demand, in_target_part=part, now_s=float(second)
+            )
             for second, part in enumerate(parts)
         ]
 
@@ -624,9 +626,9 @@
         """Plans come four times a second."""
         planner = Planner(policy=EQUAL)
         parts = [
-            planner.plan_alone({0: 1.0, 1: 1.0}, in_target_part=0.0, now_s=n / 4).parts[
-                1
-            ]
+            planner.plan_from_local_load(
+                {0: 1.0, 1: 1.0}, in_target_part=0.0, now_s=n / 4
+            ).parts[1]
             for n in range(17)
         ]
         assert parts[-1] == pytest.approx(0.95 - 4 * 0.1)
@@ -635,7 +637,9 @@
         """Sums that end under overload let everything in."""
         planner = Planner(policy=EQUAL)
         planner.plan({0: 90.0, 1: 180.0}, {}, ROOM, FULL, age_s=0.5, now_s=0.0)
-        plan = planner.plan_alone({0: 9.0, 1: 18.0}, in_target_part=None, now_s=2.0)
+        plan = planner.plan_from_local_load(
+            {0: 9.0, 1: 18.0}, in_target_part=None, now_s=2.0
+        )
         assert plan.parts == pytest.approx({1: 0.5})
 
 
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -72,7 +72,9 @@
 
     def reject(self, at, work=WORK):
         """Reject a work at an instance; return the retry delay in seconds."""
-        slot = self.links[at].slot("chat", work, 0, starts_per_s=40.0, most_s=3.0)
+        slot = self.links[at].schedule_retry(
+            "chat", work, 0, starts_per_s=40.0, most_s=3.0
+        )
         assert slot.is_reserved
         return slot.at_s - clocks.now_s()
 
@@ -164,7 +166,7 @@
         async def scenario():
             zones = Zones(9)
             link = zones.links["i0"]
-            slot = link.slot("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
+            slot = link.schedule_retry("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
             assert not slot.is_reserved
             assert zones.network.sent == 0
 
@@ -494,7 +496,9 @@
             links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
         replicas = [entry.id for entry in links["i0"]._replicas(WORK)]
         first, second = (id_ for id_ in links if id_ not in replicas)
-        slot = links[first].slot("chat", WORK, 0, starts_per_s=40.0, most_s=3.0)
+        slot = links[first].schedule_retry(
+            "chat", WORK, 0, starts_per_s=40.0, most_s=3.0
+        )
         async with asyncio.timeout(5):
             while not all(links[id_].kept() for id_ in replicas):
                 await asyncio.sleep(0.005)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -81,7 +81,7 @@
         """Guards against figures that JSON does not have, such as an open plan's."""
         made = router(proof_age_s=0.0)
         made.routing.admission.section = AdmissionSection(mode=AdmissionMode.ON)
-        made.routing.admission.take_desired(made.desired)
+        made.routing.admission.apply_desired_state(made.desired)
         made.routing.admission.refresh()
         state = made.state()
         [service] = state["admission"].values()
@@ -97,7 +97,7 @@
         made = router(proof_age_s=0.0)
         admission = made.routing.admission
         admission.section = AdmissionSection(mode=AdmissionMode.ON)
-        admission.take_desired(made.desired)
+        admission.apply_desired_state(made.desired)
         admission.returns = Reserved()
         made.update_metrics()
         gauge = made.metrics.admission_reserved
--- a/tests/test_state_at_admission.py
+++ b/tests/test_state_at_admission.py
@@ -81,7 +81,7 @@
 
     def put_in_force(self, state):
         self.router.desired = state
-        self.router.routing.admission.take_desired(state)
+        self.router.routing.admission.apply_desired_state(state)
 
     async def ask(self, path):
         responder = FakeResponder()
