--- a/tests/return_fleet.py
+++ b/tests/return_fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Router processes, a store and runners that load layers; all lose power at once."""
+"""Router processes, a store and runners that load layers, for power failure tests."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 ZONES = ("a", "b", "c")
-#: By kind, how many of a hundred runners; the slow ones hold few layers each.
-KIND_SHARES = {"quick": 7, "middle": 44, "small": 48}
+#: The percentage of runners by kind; the slow ones hold few layers each.
+KIND_PERCENTAGES = {"quick": 7, "middle": 44, "small": 48}
 KINDS = [
     {"Name": "quick", "mb": 36000.0, "pace": 3.1, "read_x": 3.2},
     {"Name": "middle", "mb": 21600.0, "pace": 16.0, "read_x": 8.2},
@@ -36,43 +36,43 @@
 ]
 LOAD_S = 14.0
 LAYERS = 80
-#: How long a runner's entry may lag behind it, in seconds.
-LIST_LAG_S = (0.1, 1.2)
-#: The part of the requests that are served where service is whole again.
-WHOLE_PART = 0.95
-#: How often the balancer asks an instance whether it is ready, and waits, in seconds.
-BALANCER_S = 1.0
+#: The minimum and maximum delay of a runner's entry, in seconds.
+ENTRY_DELAY_S = (0.1, 1.2)
+#: The fraction of requests served from which on the service counts as recovered.
+RECOVERED_FRACTION = 0.95
+#: The interval and timeout of the load balancer's readiness probes, in seconds.
+PROBE_INTERVAL_S = 1.0
 
 
-#: What stands for a status: no whole answer, and no connection.
-LOST = 0
+#: Statuses of an incomplete response, and of a refused connection.
+INCOMPLETE = 0
 REFUSED = -1
-#: After these a caller sends its request once more.
-NOT_RUN = (REFUSED, 503)
+#: The statuses after which a caller retries once.
+RETRYABLE = (REFUSED, 503)
 
 
 class Attempt(NamedTuple):
-    """One request of a caller, and what came of it."""
+    """A request of a caller, and its status."""
 
     sent_s: float
-    took_s: float
+    duration_s: float
     status: int
 
 
 class ReturnFleet(Site):
-    """A whole site that can lose power and return.
+    """A complete site whose processes can be killed and restarted.
 
     Args:
-        path: Where settings and logs are kept.
-        instances: How many router processes there are.
-        runners: How many runners there are.
-        loads_at_once: How many loads run at full rate.
-        seed: Of all random choices.
-        processors: How many processors the instances share; all if omitted.
+        path: The directory of settings and logs.
+        instances: The number of router processes.
+        runners: The number of runners.
+        max_concurrent_loads: The number of loads that run at full rate.
+        seed: The seed of all random choices.
+        processors: The number of processors shared by the instances; all if omitted.
     """
 
     def __init__(
-        self, path, *, instances, runners, loads_at_once, seed, processors=None
+        self, path, *, instances, runners, max_concurrent_loads, seed, processors=None
     ):
         super().__init__(path)
         self.path.mkdir(exist_ok=True)
@@ -83,9 +83,9 @@
         self.runners = {}
         self.runner_plan = _runner_plan(runners)
         self.lifetimes = 0
-        self.loads_at_once = loads_at_once
+        self.max_concurrent_loads = max_concurrent_loads
         self.weights = SharedWeights(
-            load_s=LOAD_S, layer_count=LAYERS, at_once=loads_at_once
+            load_s=LOAD_S, layer_count=LAYERS, at_once=max_concurrent_loads
         )
         self.attempts = []
         self.ready_names = set()
@@ -93,7 +93,7 @@
         self._listeners = []
 
     async def start(self):
-        """Start everything; wait until each instance is ready."""
+        """Start all processes, and wait until each instance is ready."""
         self.http = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         self.store_port = await self._serve(self.store.application())
         self.configure_site()
@@ -116,7 +116,7 @@
             usual={"prompt": 772, "answer": 138},
             act_bytes=36000,
             stride=2,
-            loads_at_once=self.loads_at_once,
+            loads_at_once=self.max_concurrent_loads,
             kinds=KINDS,
         )
         route = dict(CONFIG["Routes"][0], TrafficSplit=[], Service="model")
@@ -126,27 +126,27 @@
         self.store.put("op", "config", state)
 
     async def stop(self):
-        """End what was started."""
+        """Stop all processes."""
         self.stop_traffic()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.power_off()
         await super().stop()
 
     async def power_off(self, *, unlist=True):
-        """End every instance and every runner at the same moment, without a word."""
+        """Kill all instances and runners simultaneously."""
         await self.instances_off()
         await self.runners_off(unlist=unlist)
 
     async def instances_off(self):
-        """End every instance at the same moment."""
-        for one in self.instances:
-            one.signal(signal.SIGKILL)
-        for one in self.instances:
-            if one.process is not None:
-                await one.process.wait()
+        """Kill all instances simultaneously."""
+        for instance in self.instances:
+            instance.signal(signal.SIGKILL)
+        for instance in self.instances:
+            if instance.process is not None:
+                await instance.process.wait()
 
     async def runners_off(self, *, unlist=True, over_s=0.0):
-        """End every runner, one after the other over some time."""
+        """Kill the runners in sequence, evenly over some time."""
         pause_s = over_s / max(1, len(self._listeners))
         for runner, listener in self._listeners:
             await asyncio.sleep(pause_s)
@@ -158,30 +158,30 @@
             await listener.cleanup()
         self._listeners = []
         if unlist:
-            self.unlist_all(self.runners)
+            self.unlist_runners(self.runners)
         self.runners = {}
 
-    def unlist_all(self, names):
-        """Take runners' entries away."""
+    def unlist_runners(self, names):
+        """Remove entries of runners."""
         for name in names:
             self.store.remove("servers", name)
 
     async def power_on(self):
-        """Start every instance and every runner."""
+        """Start all instances and runners."""
         await asyncio.gather(self.runners_on(), self.instances_on())
 
     async def instances_on(self):
-        """Start every instance."""
+        """Start all instances."""
         all_processors = os.sched_getaffinity(0)
-        # Processes inherit the processors that they may run on.
+        # Processes inherit the CPU affinity.
         os.sched_setaffinity(0, sorted(all_processors)[: self.processors])
         try:
-            await asyncio.gather(*(one.start() for one in self.instances))
+            await asyncio.gather(*(instance.start() for instance in self.instances))
         finally:
             os.sched_setaffinity(0, all_processors)
 
     async def runners_on(self):
-        """Start the runners, empty, each as a new lifetime."""
+        """Start the runners without layers, each with a new id."""
         for kind, zone in self.runner_plan:
             self.lifetimes += 1
             name = f"i-{self.lifetimes}"
@@ -199,18 +199,20 @@
             self._listeners.append((runner, listener))
             self.runners[name] = runner
             self.addresses[name] = f"127.0.0.1:{listener.addresses[0][1]}"
-            runner.on_layers = lambda name=name, kind=kind, zone=zone: self._list_soon(
-                name, kind, zone
+            runner.on_layers = lambda name=name, kind=kind, zone=zone: (
+                self._write_entry_later(name, kind, zone)
             )
-            self._list_soon(name, kind, zone)
+            self._write_entry_later(name, kind, zone)
 
-    def _list_soon(self, name, kind, zone):
-        """Have a runner's entry written, with some lag."""
-        delay_s = self.rng.uniform(*LIST_LAG_S)
-        asyncio.get_running_loop().call_later(delay_s, self._list, name, kind, zone)
+    def _write_entry_later(self, name, kind, zone):
+        """Write a runner's entry after a random delay."""
+        delay_s = self.rng.uniform(*ENTRY_DELAY_S)
+        asyncio.get_running_loop().call_later(
+            delay_s, self._write_entry, name, kind, zone
+        )
 
-    def _list(self, name, kind, zone):
-        """Write a runner's entry as the runner is now."""
+    def _write_entry(self, name, kind, zone):
+        """Write a runner's entry with its current state."""
         runner = self.runners.get(name)
         if runner is None:
             return
@@ -237,55 +239,58 @@
             )
             settings = self.path / f"{name}.ini"
             settings.write_text(text)
-            one = Instance(
+            instance = Instance(
                 name, [], settings, front=front, ready=ready, metrics=metrics
             )
-            one.host = host
-            one.zone = ZONES[number % len(ZONES)]
-            self.instances.append(one)
+            instance.host = host
+            instance.zone = ZONES[number % len(ZONES)]
+            self.instances.append(instance)
 
     async def _wait_serving(self):
-        """Wait until each instance is ready and one has served a call."""
+        """Wait until each instance is ready and a call is served."""
         async with asyncio.timeout(60 + self.instance_count):
-            for one in self.instances:
-                while not await self._is_ready(one):
+            for instance in self.instances:
+                while not await self._is_ready(instance):
                     await asyncio.sleep(0.1)
             while (await self.attempt(self.instances[0])).status != 200:
                 await asyncio.sleep(0.2)
 
-    def begin_traffic(self, *, per_s):
-        """Begin the balancer's questions and the callers' requests."""
-        for one in self.instances:
-            self._tasks.append(asyncio.create_task(self._ask_ready(one)))
-        self._tasks.append(asyncio.create_task(self._call_on(per_s)))
+    def start_traffic(self, *, per_s):
+        """Start the load balancer's probes and the callers' requests."""
+        for instance in self.instances:
+            self._tasks.append(asyncio.create_task(self._probe_repeatedly(instance)))
+        self._tasks.append(asyncio.create_task(self._send_calls(per_s)))
 
     def stop_traffic(self):
-        """End the balancer's questions and the callers' requests."""
+        """Stop the load balancer's probes and the callers' requests."""
         for task in self._tasks:
             task.cancel()
 
-    async def _ask_ready(self, instance):
-        """Ask an instance each second whether it is ready, as the balancer does."""
-        misses = 0
+    async def _probe_repeatedly(self, instance):
+        """Probe the readiness of an instance like the load balancer."""
+        failures = 0
         while True:
             is_ready = await self._is_ready(instance)
-            misses = 0 if is_ready else misses + 1
+            failures = 0 if is_ready else failures + 1
             if is_ready:
                 self.ready_names.add(instance.name)
-            elif misses >= 2:
+            elif failures >= 2:
                 self.ready_names.discard(instance.name)
-            await asyncio.sleep(BALANCER_S * self.rng.uniform(0.9, 1.0))
+            await asyncio.sleep(PROBE_INTERVAL_S * self.rng.uniform(0.9, 1.0))
 
     async def _is_ready(self, instance):
-        """Ask an instance once whether it is ready."""
+        """Return whether an instance reports that it is ready."""
         url = f"http://{instance.host}:{instance.ready}/api/readiness"
         with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
-            async with asyncio.timeout(BALANCER_S), self.http.get(url) as answer:
-                return answer.status == 200
+            async with (
+                asyncio.timeout(PROBE_INTERVAL_S),
+                self.http.get(url) as response,
+            ):
+                return response.status == 200
         return False
 
-    async def _call_on(self, per_s):
-        """Send requests at an even rate, whatever comes of them."""
+    async def _send_calls(self, per_s):
+        """Send requests at a constant rate, regardless of their results."""
         calls = set()
         while True:
             zone = self.rng.choice(ZONES)
@@ -294,61 +299,68 @@
             call.add_done_callback(calls.discard)
             await asyncio.sleep(1.0 / per_s)
 
-    def _balanced(self, zone):
-        """Return an instance as the balancer chooses it for a caller of a zone.
+    def _select_instance(self, zone):
+        """Return an instance as selected by the load balancer for a zone.
 
-        Those that are ready; all where fewer than half are; other zones' where none is.
+        The balancer selects from the zone's ready instances, from all of the zone if
+        fewer than half are ready, and from other zones if none is.
         """
-        of_zone = [one for one in self.instances if one.zone == zone]
-        ready = [one for one in of_zone if one.name in self.ready_names]
+        in_zone = [instance for instance in self.instances if instance.zone == zone]
+        ready = [instance for instance in in_zone if instance.name in self.ready_names]
         if not ready:
-            far = [one for one in self.instances if one.name in self.ready_names]
-            return self.rng.choice(far or of_zone)
-        is_half = 2 * len(ready) >= len(of_zone)
-        return self.rng.choice(ready if is_half else of_zone)
+            remote = [
+                instance
+                for instance in self.instances
+                if instance.name in self.ready_names
+            ]
+            return self.rng.choice(remote or in_zone)
+        is_half = 2 * len(ready) >= len(in_zone)
+        return self.rng.choice(ready if is_half else in_zone)
 
     async def _call(self, zone):
-        """Send one request, once more if it has not run, and note what came of it."""
-        first = await self.attempt(self._balanced(zone))
+        """Send a request, retry it once if it was not run, and record its status."""
+        first = await self.attempt(self._select_instance(zone))
         last = first
-        if first.status in NOT_RUN:
-            last = await self.attempt(self._balanced(zone))
+        if first.status in RETRYABLE:
+            last = await self.attempt(self._select_instance(zone))
         self.attempts.append(last._replace(sent_s=first.sent_s))
 
     async def attempt(self, instance):
-        """Send one request to an instance."""
+        """Send a request to an instance."""
         sent_s = clocks.now_s()
         call_id = f"{self.rng.getrandbits(64):016x}"
-        part = f"{self.rng.randrange(60):08x}"
+        prefix = f"{self.rng.randrange(60):08x}"
         headers = HEADERS | {
             ID: call_id,
-            "Violethatch-Prompt-Prefix": f"{part}:40,{call_id[:8]}:700",
+            "Violethatch-Prompt-Prefix": f"{prefix}:40,{call_id[:8]}:700",
             "Violethatch-Token-Count": "740,69",
         }
-        status = LOST
+        status = INCOMPLETE
         url = f"http://{instance.host}:{instance.front}/draft/1"
         try:
             async with (
                 asyncio.timeout(8),
-                self.http.post(url, data=b"a", headers=headers) as answer,
+                self.http.post(url, data=b"a", headers=headers) as response,
             ):
-                body = await answer.read()
-                is_cut = answer.status == 200 and b"id: 20\n" not in body
-                status = LOST if is_cut else answer.status
+                body = await response.read()
+                is_incomplete = response.status == 200 and b"id: 20\n" not in body
+                status = INCOMPLETE if is_incomplete else response.status
         except aiohttp.ClientConnectorError:
             status = REFUSED
         except (aiohttp.ClientError, TimeoutError, OSError):
-            pass  # no whole answer
+            pass  # incomplete response
         return Attempt(sent_s, clocks.now_s() - sent_s, status)
 
     def served_between(self, first_s, end_s):
-        """Return how many requests were sent within some time, and how many served."""
-        of_time = [one for one in self.attempts if first_s <= one.sent_s < end_s]
-        return len(of_time), sum(one.status == 200 for one in of_time)
+        """Return the numbers of requests sent within a time range, and served."""
+        in_range = [
+            attempt for attempt in self.attempts if first_s <= attempt.sent_s < end_s
+        ]
+        return len(in_range), sum(attempt.status == 200 for attempt in in_range)
 
     def served_by_second(self, since_s):
-        """Return, by second since a moment, how many were asked for and served."""
-        sent_s = [one.sent_s - since_s for one in self.attempts]
+        """Return the numbers of requests sent and served per second since a time."""
+        sent_s = [attempt.sent_s - since_s for attempt in self.attempts]
         if not sent_s:
             return {}
         return {
@@ -356,22 +368,22 @@
             for second in range(math.floor(min(sent_s)), math.floor(max(sent_s)) + 1)
         }
 
-    def whole_after_s(self, since_s):
-        """Return after how many seconds nearly all requests were served for good."""
-        whole_s = math.inf
-        for second, (asked, served) in reversed(self.served_by_second(since_s).items()):
-            if second < 0 or served < WHOLE_PART * asked:
+    def recovery_s(self, since_s):
+        """Return the time after which nearly all requests are served, in seconds."""
+        recovered_s = math.inf
+        for second, (sent, served) in reversed(self.served_by_second(since_s).items()):
+            if second < 0 or served < RECOVERED_FRACTION * sent:
                 break
-            whole_s = second
-        return whole_s
+            recovered_s = second
+        return recovered_s
 
 
 def _runner_plan(count):
-    """Return the kinds and zones of some runners."""
-    total = sum(KIND_SHARES.values())
+    """Return the kinds and zones of the runners."""
+    total = sum(KIND_PERCENTAGES.values())
     kinds = [
         kind
-        for kind, part in KIND_SHARES.items()
-        for _ in range(round(part * count / total) or 1)
+        for kind, percentage in KIND_PERCENTAGES.items()
+        for _ in range(round(percentage * count / total) or 1)
     ]
     return [(kind, ZONES[number % len(ZONES)]) for number, kind in enumerate(kinds)]
--- a/tests/test_return_soak.py
+++ b/tests/test_return_soak.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""A seeded soak of returns: every process ends at once, and all come back.
+"""A seeded soak test of power failures: all processes are killed and restarted.
 
-Real router processes with the deployed settings, before runners that start empty and
-load layers by order from a store of weights that serves few loads at full rate.
-`RETURN_SOAK_SEEDS`, `RETURN_SOAK_FIRST` and `RETURN_SOAK_INSTANCES` set what is played.
+Real router processes run with the deployed settings in front of runners that start
+empty and load layers on order from a weight store that serves few loads at full rate.
+`RETURN_SOAK_SEEDS`, `RETURN_SOAK_FIRST` and `RETURN_SOAK_INSTANCES` set the number of
+seeds, the first seed and the number of router processes.
 """
 
 from __future__ import annotations
@@ -24,60 +25,62 @@
 FIRST = int(os.environ.get("RETURN_SOAK_FIRST", "0"))
 INSTANCES = int(os.environ.get("RETURN_SOAK_INSTANCES", "6"))
 RUNNERS = 33
-#: The platform's rule: from this long after a return on, a quarter has to be served.
+#: Required by the platform: from this time after a restart on, a quarter of the
+#: requests must be served.
 RECOVERY_S = 15.0
 MIN_SERVED = 0.25
-#: How long the rule is watched for, in seconds.
-WATCHED_S = 4.0
-PER_S = 20.0
-#: How long entries of runners that ended without a word stay listed, in seconds: three
-#: heartbeats of 1.2 s.
-LAPSE_S = 3.6
+#: How long the served fraction is measured, in seconds.
+MEASURED_S = 4.0
+REQUESTS_PER_S = 20.0
+#: How long entries of killed runners stay listed, in seconds: three heartbeats of
+#: 1.2 s.
+ENTRY_TTL_S = 3.6
 
 
 class Plan(NamedTuple):
-    """What is played.
+    """The scenario of a seed.
 
     Attributes:
-        loads_at_once: Loads that run at full rate.
+        max_concurrent_loads: The loads that run at full rate.
         are_runners_lost: Whether the runners lose power too.
-        are_entries_stale: Whether the lost runners' entries stay until they lapse.
-        off_s: How long the power is off.
-        store_silence_s: How long after the return the store refuses.
-        runners_end_over_s: Over which time the runners end, before the instances do.
-        is_twice: Whether the power fails again during the return.
+        are_entries_stale: Whether entries of lost runners stay until they expire.
+        off_s: The duration of the power failure.
+        store_outage_s: How long the store fails requests after the restart.
+        is_twice: Whether a second power failure follows during recovery.
+        runner_shutdown_s: The time over which the runners are killed, before the
+            instances.
     """
 
-    loads_at_once: int
+    max_concurrent_loads: int
     are_runners_lost: bool
     are_entries_stale: bool
     off_s: float
-    store_silence_s: float
+    store_outage_s: float
     is_twice: bool
-    runners_end_over_s: float
+    runner_shutdown_s: float
 
 
-def plan_of(seed):
-    """Return what a seed plays."""
+def make_plan(seed):
+    """Return the scenario of a seed."""
     rng = random.Random(seed)
     return Plan(
-        loads_at_once=rng.choice((3, 5, 16)),
+        max_concurrent_loads=rng.choice((3, 5, 16)),
         are_runners_lost=rng.random() < 0.75,
         are_entries_stale=rng.random() < 0.5,
         off_s=rng.uniform(0.3, 3.0),
-        store_silence_s=rng.choice((0.0, 0.0, 2.0, 4.0)),
+        store_outage_s=rng.choice((0.0, 0.0, 2.0, 4.0)),
         is_twice=rng.random() < 0.3,
-        runners_end_over_s=rng.choice((0.0, 0.0, 0.3, 1.0)),
+        runner_shutdown_s=rng.choice((0.0, 0.0, 0.3, 1.0)),
     )
 
 
-class Return:
-    """One play.
+class PowerFailure:
+    """A power failure of a fleet.
 
     Args:
-        fleet: Started, with traffic.
-        plan: What is played.
-        seed: Of the moments.
+        fleet: The started fleet, with traffic.
+        plan: The scenario.
+        seed: The seed of the random times.
     """
 
     def __init__(self, fleet, plan, seed):
@@ -85,25 +88,25 @@
         self.plan = plan
         self.rng = random.Random(f"return/{seed}")
 
-    async def play(self):
-        """Let the power fail, and return; return when the machines were back."""
-        await self._fail_and_return()
+    async def run(self):
+        """Run the scenario; return the time of the last restart."""
+        await self._fail_and_restart()
         if self.plan.is_twice:
             await asyncio.sleep(self.rng.uniform(0.5, 8.0))
-            await self._fail_and_return()
+            await self._fail_and_restart()
         return clocks.now_s()
 
-    async def _fail_and_return(self):
-        """End every process at once, and start all again."""
+    async def _fail_and_restart(self):
+        """Kill all processes simultaneously, and restart them."""
         fleet, plan = self.fleet, self.plan
         stale = list(fleet.runners) if plan.are_runners_lost else []
         if plan.are_runners_lost:
             await fleet.runners_off(
-                unlist=not plan.are_entries_stale, over_s=plan.runners_end_over_s
+                unlist=not plan.are_entries_stale, over_s=plan.runner_shutdown_s
             )
         await fleet.instances_off()
         await asyncio.sleep(plan.off_s)
-        if plan.store_silence_s:
+        if plan.store_outage_s:
             fleet.store.refuse_with = 503
         starts = [fleet.instances_on()]
         if plan.are_runners_lost:
@@ -111,36 +114,39 @@
         await asyncio.gather(*starts)
         loop = asyncio.get_running_loop()
         if plan.are_entries_stale and stale:
-            lapse_s = max(0.0, LAPSE_S - plan.off_s)
-            loop.call_later(lapse_s, fleet.unlist_all, stale)
-        if plan.store_silence_s:
-            await asyncio.sleep(plan.store_silence_s)
+            remaining_s = max(0.0, ENTRY_TTL_S - plan.off_s)
+            loop.call_later(remaining_s, fleet.unlist_runners, stale)
+        if plan.store_outage_s:
+            await asyncio.sleep(plan.store_outage_s)
             fleet.store.refuse_with = 0
 
 
 @pytest.mark.parametrize("seed", range(FIRST, FIRST + SEEDS))
-async def test_service_is_back_in_time(tmp_path, seed):
-    """Guards against a return that waits for all loads, or for what is gone."""
-    plan = plan_of(seed)
+async def test_service_recovers_in_time(tmp_path, seed):
+    """Guards against a recovery that waits for all loads, or for lost runners."""
+    plan = make_plan(seed)
     fleet = ReturnFleet(
         tmp_path,
         instances=INSTANCES,
         runners=RUNNERS,
-        loads_at_once=plan.loads_at_once,
+        max_concurrent_loads=plan.max_concurrent_loads,
         seed=seed,
     )
     try:
         await fleet.start()
-        fleet.begin_traffic(per_s=PER_S)
+        fleet.start_traffic(per_s=REQUESTS_PER_S)
         await asyncio.sleep(2.0)
-        back_s = await Return(fleet, plan, seed).play()
-        await asyncio.sleep(RECOVERY_S + WATCHED_S)
+        restarted_s = await PowerFailure(fleet, plan, seed).run()
+        await asyncio.sleep(RECOVERY_S + MEASURED_S)
         fleet.stop_traffic()
-        asked, served = fleet.served_between(back_s + RECOVERY_S, clocks.now_s())
-        whole_s = fleet.whole_after_s(back_s)
-        print(f"seed {seed}: {plan} whole after {whole_s:.1f} s, {served} of {asked}")
-        assert asked >= PER_S * WATCHED_S / 2
-        assert served >= MIN_SERVED * asked
+        sent, served = fleet.served_between(restarted_s + RECOVERY_S, clocks.now_s())
+        recovered_s = fleet.recovery_s(restarted_s)
+        print(
+            f"seed {seed}: {plan} recovered after {recovered_s:.1f} s, "
+            f"{served} of {sent}"
+        )
+        assert sent >= REQUESTS_PER_S * MEASURED_S / 2
+        assert served >= MIN_SERVED * sent
         assert [one.process.returncode for one in fleet.instances] == [None] * INSTANCES
     finally:
         await fleet.stop()
--- a/tests/test_stream_loads.py
+++ b/tests/test_stream_loads.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How full runners are thought to be."""
+"""The estimated utilization of runners."""
 
 from __future__ import annotations
 
@@ -23,37 +23,37 @@
 
 
 class TestStreamLoads:
-    def test_nothing_is_taken_at_first(self):
-        """Without streams and words runners are empty."""
+    def test_initially_empty(self):
+        """Without streams and reports the utilization is zero."""
         assert StreamLoads().fullness(A, engine(), now_s=0.0) == 0.0
 
-    def test_own_streams_count(self):
-        """Each own stream takes its tokens on each of its layers."""
+    def test_own_streams(self):
+        """An own stream uses KV cache for its tokens on each of its layers."""
         loads = StreamLoads()
-        room = engine().kv_capacity_tokens(engine().kinds["medium"], 14)
-        loads.started(PATH, room / 4, now_s=0.0, crossing_ms=0.0)
+        capacity = engine().kv_capacity_tokens(engine().kinds["medium"], 14)
+        loads.started(PATH, capacity / 4, now_s=0.0, crossing_ms=0.0)
         assert loads.fullness(A, engine(), now_s=0.0) == pytest.approx(0.25)
-        loads.ended(PATH, room / 4)
+        loads.ended(PATH, capacity / 4)
         assert loads.fullness(A, engine(), now_s=0.0) == 0.0
 
-    def test_first_runners_word_counts_for_a_while(self):
-        """What a first runner says of its slots is believed while it is new."""
+    def test_report_of_first_runner_expires(self):
+        """A report of a first runner is used until it expires."""
         loads = StreamLoads()
         loads.record_report("a", ServerLoad(running=72, waiting=0, slots=96), now_s=0.0)
         assert loads.fullness(A, engine(), now_s=1.0) == pytest.approx(0.75)
         assert loads.fullness(A, engine(), now_s=60.0) == 0.0
 
-    def test_others_streams_count_like_own(self):
-        """A runner is as full as all instances' streams make it."""
+    def test_streams_of_others(self):
+        """The streams of all instances add to the utilization."""
         loads = StreamLoads()
-        room = engine().kv_capacity_tokens(engine().kinds["medium"], 14)
-        loads.started(PATH, room / 4, now_s=0.0, crossing_ms=0.0)
-        there = ServerTotals(3, room * 14 / 4)
-        loads.take_others(LoadTotals(5, 0.0, {server_number("a"): there}), now_s=0.0)
+        capacity = engine().kv_capacity_tokens(engine().kinds["medium"], 14)
+        loads.started(PATH, capacity / 4, now_s=0.0, crossing_ms=0.0)
+        reported = ServerTotals(3, capacity * 14 / 4)
+        loads.take_others(LoadTotals(5, 0.0, {server_number("a"): reported}), now_s=0.0)
         assert loads.fullness(A, engine(), now_s=0.0) == pytest.approx(0.5)
 
-    def test_others_streams_take_slots(self):
-        """Where runners tell nothing, slots are counted all the same."""
+    def test_streams_of_others_use_slots(self):
+        """Slots in use are counted without reports of runners as well."""
         loads = StreamLoads()
         loads.started(PATH, 1.0, now_s=0.0, crossing_ms=0.0)
         loads.take_others(
@@ -62,24 +62,24 @@
         )
         assert loads.fullness(A, engine(), now_s=0.0) == pytest.approx(0.75)
 
-    def test_own_streams_are_not_taken_times_the_others(self):
-        """What others may have begun meanwhile is laid out by `path_shares`."""
+    def test_own_streams_are_not_extrapolated(self):
+        """Unreported streams of others are estimated by `path_shares`, not here."""
         loads = StreamLoads()
         loads.take_others(LoadTotals(5, 0.0, {}, age_s=1.0), now_s=0.0)
         loads.started(PATH, 1.0, now_s=0.1, crossing_ms=0.0)
         assert loads.fullness(A, engine(), now_s=0.2) == pytest.approx(1 / 96)
         assert loads.others_age_s(now_s=0.2) == pytest.approx(1.2)
 
-    def test_added_streams_take_slots_and_kv_cache(self):
-        """Usual streams fill the first runner's slots, and each one's KV cache."""
+    def test_added_utilization(self):
+        """Typical streams use slots of the first runner, and KV cache of each."""
         added = fullness_added(PATH, engine(), streams=48.0)
         assert added["a"] >= 0.5
-        room = engine().kv_capacity_tokens(engine().kinds["large"], 40)
-        taken = 48.0 * engine().usual_tokens / room
-        assert added["b"] == pytest.approx(taken)
+        capacity = engine().kv_capacity_tokens(engine().kinds["large"], 40)
+        used = 48.0 * engine().usual_tokens / capacity
+        assert added["b"] == pytest.approx(used)
 
-    def test_fuller_word_counts(self):
-        """The runner's own word and the others' sums are of different ages."""
+    def test_maximum_estimate(self):
+        """The maximum of the runner's report and the totals is used."""
         loads = StreamLoads()
         loads.record_report("a", ServerLoad(running=72, waiting=0, slots=96), now_s=0.0)
         loads.take_others(
@@ -89,8 +89,8 @@
         assert loads.fullness(A, engine(), now_s=1.0) == pytest.approx(0.75)
         assert loads.fullness(A, engine(), now_s=60.0) == pytest.approx(0.25)
 
-    def test_runner_with_a_queue_is_full(self):
-        """With its memory full, one ran 75 streams on 96 slots while 48 waited."""
+    def test_queue_at_runner(self):
+        """A runner with full memory ran 75 streams on 96 slots while 48 waited."""
         loads = StreamLoads()
         loads.record_report("a", ServerLoad(75, 3, 96), now_s=0.0)
         assert loads.slots_taken(A, now_s=0.0) < 0.85
@@ -98,16 +98,16 @@
         assert loads.slots_taken(A, now_s=0.0) == pytest.approx(1.64)
         assert loads.slots_taken(A, now_s=60.0) == 0.0
 
-    def test_own_demand_is_told(self):
-        """Guards against demand that is counted and not told, or told uncounted."""
+    def test_own_demand(self):
+        """Guards against counted demand that is not sent, and vice versa."""
         loads = StreamLoads()
         assert loads.own_totals(now_s=0.0).demand is NO_DEMAND
         offered = Demand({DemandKey(7, 1): 3.0}, {})
         loads.own_demand = lambda: offered
         assert loads.own_totals(now_s=0.0).demand == offered
 
-    def test_own_totals_are_what_others_are_told(self):
-        """Streams count at the first runner, KV cache at each."""
+    def test_own_totals(self):
+        """Streams are counted at the first runner, KV cache at each runner."""
         loads = StreamLoads()
         loads.started(PATH, 100.0, now_s=0.0, crossing_ms=5.0)
         totals = loads.own_totals(now_s=0.0)
@@ -118,8 +118,8 @@
         loads.ended(PATH, 100.0)
         assert loads.own_totals(now_s=60.0).servers == {}
 
-    def test_pipe_fills_with_crossings(self):
-        """Prompts that cross zones fill the pipe for a while, own and others'."""
+    def test_zone_link(self):
+        """Transfers of all instances use the link between zones within the window."""
         loads = StreamLoads()
         for _ in range(10):
             loads.started(PATH, 100.0, now_s=0.0, crossing_ms=7.0)
@@ -128,8 +128,8 @@
         assert loads.pipe_fullness(now_s=1.0) == pytest.approx(expected)
         assert loads.pipe_fullness(now_s=9.0) == pytest.approx(0.03)
 
-    def test_others_streams_end_while_their_news_is_old(self):
-        """Old news and what was begun since would count the same room twice."""
+    def test_reported_streams_decay(self):
+        """An old report plus the streams started since would count capacity twice."""
         loads = StreamLoads()
         number = server_number(PATH.first.id)
         others = LoadTotals(63, 0.0, {number: ServerTotals(48, 0.0)}, age_s=0.7)
@@ -139,8 +139,8 @@
             loads.lasted(1.0)
         assert loads.totals_at(PATH.first.id, now_s=0.3).streams == 18
 
-    def test_own_streams_are_known_exactly(self):
-        """How old the others' news is says nothing of them."""
+    def test_own_streams_do_not_decay(self):
+        """Own streams don't decay with the age of the others' report."""
         loads = StreamLoads()
         loads.lasted(1.0)
         loads.started(PATH, 100.0, crossing_ms=0.0, now_s=0.0)
