--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -23,6 +23,8 @@
 
 import eliot
 
+from violethatch.estimate_capacity import Room, Targets, estimate_capacity
+
 from decision_costs import placed_servers
 from violethatch import clocks
 from violethatch._admission import Admission, StartRequest
@@ -36,16 +38,15 @@
 )
 from violethatch.admission_plan import Admitter, Plan, Planner, WorkspacePolicy
 from violethatch.demand import (
-    MOST_BYTES,
-    MOST_HEAVIEST_KEPT,
-    MOST_HEAVIEST_SENT,
-    MOST_KEYS_SENT,
+    MAX_ENCODED_BYTES,
+    MAX_SENT_KEYS,
+    MAX_SUMMED_WORKSPACES,
     Demand,
     DemandCounter,
     DemandKey,
-    packed,
+    decode_demand,
+    encode_demand,
     total_demand,
-    unpacked,
 )
 from violethatch.desired import CallKind, CallRoute, ServiceSpec
 from violethatch.engine_model import AcceleratorKind, EngineSpec
@@ -61,7 +62,6 @@
     ReturnSlots,
     Slot,
 )
-from violethatch.room import Room, Targets, room
 from violethatch.router_settings import AdmissionSection
 from violethatch.start_queue import StartQueue, Waiting
 from violethatch.upstream import Call
@@ -135,12 +135,12 @@
 def full_demand(seed: int) -> Demand:
     """Return a demand with as many entries as a sum keeps."""
     rng = random.Random(seed)
-    keys = [DemandKey(server_number("model"), 10 * n) for n in range(MOST_KEYS_SENT)]
+    keys = [DemandKey(server_number("model"), 10 * n) for n in range(MAX_SENT_KEYS)]
     return Demand(
         dict.fromkeys(keys, 500.0),
         {
             (keys[_LEVEL // 10], one): rng.uniform(5.0, 20.0)
-            for one in range(MOST_HEAVIEST_KEPT)
+            for one in range(MAX_SUMMED_WORKSPACES)
         },
     )
 
@@ -170,7 +170,7 @@
     demand = full_demand(1)
     rates = {key.priority: rate for key, rate in demand.offers_per_s.items()}
     heavy = {(key.priority, one): r for (key, one), r in demand.heaviest_per_s.items()}
-    own = {one: 1.0 + one % 3 for one in range(MOST_HEAVIEST_KEPT)}
+    own = {one: 1.0 + one % 3 for one in range(MAX_SUMMED_WORKSPACES)}
     for name, weights in (("equal", {}), ("own", own)):
         policy = WorkspacePolicy(weights, 0.5)
         planner, admitter = Planner(policy=policy), Admitter(policy=policy)
@@ -340,25 +340,25 @@
 def show_demand(instances: int) -> None:
     """Print what counting and passing demand on costs."""
     demand = full_demand(1)
-    data = packed(demand)
+    data = encode_demand(demand)
     parts = [full_demand(n) for n in range(5)]
     counter = DemandCounter()
     key = DemandKey(7, 0)
 
     def offered(n: int) -> None:
-        counter.offered(key, n % _WORKSPACES, now_s=n / 100)
+        counter.record_offer(key, n % _WORKSPACES, now_s=n / 100)
 
     show("an offer counted", least_us(offered), "us")
     show(
         "own demand read", least_us(lambda n: counter.demand(now_s=20 + n / 100)), "us"
     )
-    show("a demand packed", least_us(lambda _: packed(demand)), "us")
-    show("a demand unpacked", least_us(lambda _: unpacked(data)), "us")
+    show("a demand packed", least_us(lambda _: encode_demand(demand)), "us")
+    show("a demand unpacked", least_us(lambda _: decode_demand(data)), "us")
     show("five demands added", least_us(lambda _: total_demand(parts)), "us")
-    show("a demand at most", MOST_BYTES, "bytes")
-    keys_only = len(packed(Demand(demand.offers_per_s, {})))
+    show("a demand at most", MAX_ENCODED_BYTES, "bytes")
+    keys_only = len(encode_demand(Demand(demand.offers_per_s, {})))
     show("of it keys", keys_only, "bytes")
-    four = len(packed(Demand(dict(list(demand.offers_per_s.items())[:3]), {})))
+    four = len(encode_demand(Demand(dict(list(demand.offers_per_s.items())[:3]), {})))
     show("a demand of three priorities, no workspaces", four, "bytes")
     print(f"{MOST_HEAVIEST_SENT} workspaces sent, {instances} instances")
 
@@ -431,7 +431,9 @@
     def counted() -> DemandCounter:
         counter = DemandCounter()
         for n in range(20_000):
-            counter.offered(DemandKey(7, n % 12), n % _WORKSPACES, now_s=n / 20_000)
+            counter.record_offer(
+                DemandKey(7, n % 12), n % _WORKSPACES, now_s=n / 20_000
+            )
         return counter
 
     def reserved() -> ReservedStarts:
@@ -472,7 +474,9 @@
         layer_map = fleet(count)
 
         def room_of(_: int, layer_map: LayerMap = layer_map) -> Room:
-            return room(layer_map, left_out=(), paces={}, targets=_TARGETS)
+            return estimate_capacity(
+                layer_map, excluded=(), slowdowns={}, targets=_TARGETS
+            )
 
         found = room_of(0)
         cost_us = least_us(room_of, per_block=5)
--- a/bench/load_spread.py
+++ b/bench/load_spread.py
@@ -30,10 +30,10 @@
 from _report import write_rows
 from violethatch._load_link import (
     ENVELOPE_BYTES,
-    MOST_TOLD_A_TICK,
+    MAX_RECIPIENTS_PER_TICK,
     SERVER_BYTES,
     TICK_S,
-    most_servers,
+    max_servers,
 )
 from violethatch.backends import BackendServer
 from violethatch.instances import InstanceDirectory, InstanceEntry
@@ -272,13 +272,14 @@
         instance.loads.take_others(instance.sums.others, now_s=now_s)
         own = instance.loads.own_totals(now_s=now_s)
         neighbours = instance.sums.neighbours(now_s=now_s)
-        turn = round(now_s / TICK_S) * MOST_TOLD_A_TICK % max(1, len(neighbours))
+        turn = round(now_s / TICK_S) * MAX_RECIPIENTS_PER_TICK % max(1, len(neighbours))
         in_turn = [*neighbours.items(), *neighbours.items()][turn:]
-        for to, direction in in_turn[: min(len(neighbours), MOST_TOLD_A_TICK)]:
+        for to, direction in in_turn[: min(len(neighbours), MAX_RECIPIENTS_PER_TICK)]:
             said = instance.sums.sum_for(to, direction, own, now_s=now_s)
             feed = instance.feeds.setdefault((to, direction), ChangeFeed())
-            picked = feed.pick(
-                said.servers, most=most_servers(min(len(neighbours), MOST_TOLD_A_TICK))
+            picked = feed.select(
+                said.servers,
+                limit=max_servers(min(len(neighbours), MAX_RECIPIENTS_PER_TICK)),
             )
             instance.sent_bytes += ENVELOPE_BYTES + len(picked) * SERVER_BYTES
             if self.rng.random() >= LOSS:
@@ -290,7 +291,7 @@
         self, sender: str, to: str, direction: Direction, word: LoadTotals
     ) -> Iterator[simpy.Event]:
         yield self.env.timeout(HOP_S)
-        self.instances[to].sums.take(sender, direction, word, now_s=self.env.now)
+        self.instances[to].sums.update(sender, direction, word, now_s=self.env.now)
 
     def _samples(self) -> Iterator[simpy.Event]:
         """Note how unevenly the chains of each zone are taken, and ages of news."""
--- a/src/violethatch/_admission_ports.py
+++ b/src/violethatch/_admission_ports.py
@@ -9,9 +9,9 @@
 
 from . import clocks
 from .demand import Demand
+from .retry_delay import retry_delay_s
 from .return_slots import Claim, ClaimOutcome, Slot
 from .stream_loads import StreamLoads
-from .turning_away import come_back_s
 
 
 class AggregatedPeerDemand:
@@ -63,7 +63,7 @@
         most_s: float,
     ) -> Slot:
         """Return when a caller should come back."""
-        back_s = come_back_s(most_s if not starts_per_s else 0.0, rng=self._rng)
+        back_s = retry_delay_s(most_s if not starts_per_s else 0.0, rng=self._rng)
         return Slot(clocks.now_s() + back_s, is_reserved=False)
 
     async def claim(self, _work: str) -> Claim:
--- a/src/violethatch/_admission_types.py
+++ b/src/violethatch/_admission_types.py
@@ -6,11 +6,11 @@
 from typing import NamedTuple, Protocol
 
 from .admission_plan import Plan
+from .capacity import Room, Targets
 from .demand import Demand, DemandCounter
 from .desired import ServiceSpec
 from .paths import Path
 from .return_slots import Claim, Slot
-from .room import Room, Targets
 from .router_settings import AdmissionSection
 from .upstream import Call
 
--- a/src/violethatch/_governed_service.py
+++ b/src/violethatch/_governed_service.py
@@ -13,13 +13,13 @@
 from . import clocks, events
 from ._admission_types import AdmissionShared, AdmissionState, StartRequest
 from .admission_plan import OPEN, STALE_S, Admitter, Plan, Planner, WorkspacePolicy
+from .capacity import Room, Targets
 from .demand import RUNNING, DemandKey, total_demand
 from .desired import CallRoute, ServiceSpec
 from .errors import NotAdmittedError
 from .load_sums import server_number
 from .paths import Path
 from .return_slots import MOST_S, ClaimOutcome, Slot
-from .room import Room, Targets
 from .router_settings import AdmissionSection
 from .start_queue import StartQueue, Waiting
 
@@ -325,7 +325,7 @@
 
     def _count(self, request: StartRequest, *, now_s: float) -> None:
         """Count an offer."""
-        self._admission.counter.offered(
+        self._admission.counter.record_offer(
             DemandKey(self.number, request.priority),
             server_number(request.workspace or ""),
             now_s=now_s,
--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -10,7 +10,7 @@
 
 from . import clocks, events
 from ._peer_datagrams import LoadDatagram, PeerDatagrams
-from .demand import DemandFeed, unpacked
+from .demand import DemandFeed, decode_demand
 from .load_changes import ChangeFeed
 from .load_sums import Direction, LoadSums, LoadTotals, ServerTotals
 from .running_time import LATE_S
@@ -31,7 +31,7 @@
 ENVELOPE_BYTES = 110
 #: The most neighbours that are told in one tick: more would leave each datagram
 #: little beside its envelope.  The others' turn comes with the next ticks.
-MOST_TOLD_A_TICK = 4
+MAX_RECIPIENTS_PER_TICK = 4
 #: A server in a datagram: its number, streams, and units of tokens times layers.
 _SERVER = struct.Struct("<IHH")
 #: The unit; a stream of a thousand tokens has some thousands even on one layer.
@@ -107,10 +107,10 @@
             {one: totals.demand for one, totals in totals_by_neighbour.items()},
             most_bytes=most_demand_bytes(len(told)),
         )
-        most = most_servers(len(told), demands.values())
+        most = max_servers(len(told), demands.values())
         for neighbour, totals in totals_by_neighbour.items():
             direction = neighbours[neighbour]
-            picked = self._feed(neighbour, direction).pick(totals.servers, most=most)
+            picked = self._feed(neighbour, direction).select(totals.servers, limit=most)
             message = LoadDatagram(
                 token=peers[neighbour].token,
                 sender=self._directory.own.id,
@@ -125,7 +125,7 @@
 
     def _in_turn(self, neighbours: list[str]) -> list[str]:
         """Return whom to tell in this tick, where there are too many for one."""
-        count = min(len(neighbours), MOST_TOLD_A_TICK)
+        count = min(len(neighbours), MAX_RECIPIENTS_PER_TICK)
         first = self._turn % len(neighbours)
         self._turn += count
         return (neighbours + neighbours)[first : first + count]
@@ -148,14 +148,14 @@
             pipe_ms_per_s=message.pipe_ms_per_s,
             servers=_unpacked(message.servers),
             age_s=message.age_ms / _MS_PER_S,
-            demand=unpacked(message.demand),
+            demand=decode_demand(message.demand),
         )
         now_s = clocks.now_s()
         direction = Direction(message.direction)
-        self._sums.take(message.sender, direction, change, now_s=now_s)
+        self._sums.update(message.sender, direction, change, now_s=now_s)
 
 
-def most_servers(neighbours: int, demands: Iterable[bytes] = ()) -> int:
+def max_servers(neighbours: int, demands: Iterable[bytes] = ()) -> int:
     """Return how many servers fit a datagram, within the bytes of a second.
 
     Args:
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -14,6 +14,7 @@
 from .backends import BackendServer, BackendTable
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
+from .estimate_capacity import Room, Targets, estimate_capacity
 from .local_paths import FULL, NearFirst
 from .membership import rendezvous
 from .path_shares import (
@@ -27,7 +28,6 @@
 )
 from .paths import LayerMap, Path
 from .pipe_share import PipeShare
-from .room import Room, Targets, room
 from .runner_health import RunnerHealth
 from .slow_runners import SlowRunners
 from .stream_loads import StreamLoads, fullness_added
@@ -302,7 +302,9 @@
         paces = self._paces.slow(now_s=now_s)
         known = self._rooms.get(service.name)
         if known is None or not known.is_of(maps, gone, paces, targets):
-            found = room(maps.whole, left_out=gone, paces=paces, targets=targets)
+            found = estimate_capacity(
+                maps.whole, excluded=gone, slowdowns=paces, targets=targets
+            )
             known = _KnownRoom(maps, gone, paces, targets, found)
             self._rooms[service.name] = known
         return known.room
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -39,7 +39,7 @@
 )
 from .freshness import Freshness
 from .instances import InstanceEntry
-from .request_room import RequestRoom, may_connect
+from .request_capacity import RequestCapacity, may_connect
 from .router_settings import RouterSettings
 from .slices import Slices, Steps
 from .start_steps import LOGGED_STEPS, Step, StepTimes
@@ -105,7 +105,7 @@
         self.routing.admission.observer = self.metrics
         self.freshness = Freshness(limit_s=settings.proof_limit_s)
         self.stop_plan = StopPlan(grace_s=settings.bounds.grace_s)
-        self._request_room = RequestRoom()
+        self._request_room = RequestCapacity()
         self.desired: DesiredState | None = None
         #: The row of the desired state in force.
         self._desired_value: bytes | None = None
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -23,6 +23,7 @@
 from .path_shares import ZonePosition
 from .paths import Path
 from .pipe_share import PipeShare
+from .retry_delay import retry_delay_s
 from .router_settings import RouterSettings
 from .runner_health import RunnerHealth, ServerFault
 from .server_choice import ServerChoice
@@ -31,7 +32,6 @@
 from .store_era import UNREAD, TableState
 from .stream_loads import StreamLoads
 from .suspicion import CrashSuspects, End, ServerEnds
-from .turning_away import come_back_s
 from .upstream import Call, ReachOutcome, Refusal, RunnerClient, RunnerReport
 
 
@@ -218,7 +218,9 @@
             blocked_s: How long what blocks the caller is thought to last, in seconds.
             requested_backoff_s: Until when servers have asked for rest, in seconds.
         """
-        return come_back_s(blocked_s, asked_s=requested_backoff_s, rng=self._rng)
+        return retry_delay_s(
+            blocked_s, requested_backoff_s=requested_backoff_s, rng=self._rng
+        )
 
     def record_stream_start(self) -> None:
         """Count a stream that this instance begins."""
--- a/src/violethatch/admission_plan.py
+++ b/src/violethatch/admission_plan.py
@@ -21,8 +21,8 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
+from .capacity import Room
 from .load_sums import server_number
-from .room import Room
 
 
 #: The fraction of the room that is filled: the rest absorbs what sums don't show yet.
--- a/src/violethatch/admission_preview.py
+++ b/src/violethatch/admission_preview.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from .admission_plan import STALE_S, Admitter, Plan, Planner, WorkspacePolicy
-from .room import Room
+from .capacity import Room
 from .router_settings import AdmissionSection
 
 
--- a/src/violethatch/room.py
+++ b/src/violethatch/capacity.py
@@ -159,11 +159,11 @@
     pipe_ms: float
 
 
-def room(
+def estimate_capacity(
     layer_map: LayerMap,
     *,
-    left_out: Collection[str],
-    paces: Mapping[str, float],
+    excluded: Collection[str],
+    slowdowns: Mapping[str, float],
     targets: Targets,
 ) -> Room:
     """Return how many streams the usable runners hold and start within target.
@@ -177,8 +177,8 @@
     .. versionadded:: 26.5.0
     """
     engine = layer_map.engine
-    usable = [one for one in layer_map.holders.values() if one.id not in left_out]
-    runners = {one.id: one for one in _runners(usable, engine, paces)}
+    usable = [one for one in layer_map.holders.values() if one.id not in excluded]
+    runners = {one.id: one for one in _runners(usable, engine, slowdowns)}
     by_zone: defaultdict[str, list[_Runner]] = defaultdict(list)
     for runner in runners.values():
         by_zone[runner.zone].append(runner)
--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -22,12 +22,12 @@
 #: Over how long offers are counted, in seconds.
 WINDOW_S = 1.0
 #: The most keys in a datagram: three services of four priorities each.
-MOST_KEYS_SENT = 12
+MAX_SENT_KEYS = 12
 #: The most workspaces in a datagram, over all keys.
-MOST_HEAVIEST_SENT = 8
+MAX_SENT_WORKSPACES = 8
 #: The most workspaces in a sum: one that is ninth at each of three children and at
 #: the instance itself still counts in their sum.
-MOST_HEAVIEST_KEPT = 32
+MAX_SUMMED_WORKSPACES = 32
 #: The most keys in a sum: five neighbours' datagrams, and some of the instance's own.
 MOST_KEYS_KEPT = 64
 #: How many neighbours are told workspaces in a tick.
@@ -56,8 +56,8 @@
 #: The number of keys.
 _COUNT_BYTES = 1
 #: The most bytes of a packed demand.
-MOST_BYTES = (
-    _COUNT_BYTES + MOST_KEYS_SENT * _KEY.size + MOST_HEAVIEST_SENT * _HEAVY.size
+MAX_ENCODED_BYTES = (
+    _COUNT_BYTES + MAX_SENT_KEYS * _KEY.size + MAX_SENT_WORKSPACES * _HEAVY.size
 )
 
 _Item = TypeVar("_Item", bound=Hashable)
@@ -117,7 +117,7 @@
     return _limited(offers_per_s, heaviest_per_s)
 
 
-def packed(demand: Demand, *, most_bytes: int = MOST_BYTES) -> bytes:
+def encode_demand(demand: Demand, *, max_bytes: int = MAX_ENCODED_BYTES) -> bytes:
     """Return a demand as bytes; without offers there are none.
 
     Args:
@@ -128,11 +128,11 @@
 
     .. versionadded:: 26.5.0
     """
-    left_bytes = most_bytes - _COUNT_BYTES
-    most_keys = min(MOST_KEYS_SENT, left_bytes // _KEY.size)
+    left_bytes = max_bytes - _COUNT_BYTES
+    most_keys = min(MAX_SENT_KEYS, left_bytes // _KEY.size)
     keys = _sendable(demand.offers_per_s, most=most_keys)
     left_bytes -= len(keys) * _KEY.size
-    most_heaviest = min(MOST_HEAVIEST_SENT, left_bytes // _HEAVY.size)
+    most_heaviest = min(MAX_SENT_WORKSPACES, left_bytes // _HEAVY.size)
     heaviest = _sendable(demand.heaviest_per_s, most=most_heaviest)
     if not keys and not heaviest:
         return b""
@@ -144,7 +144,7 @@
     return b"".join(parts)
 
 
-def unpacked(data: bytes) -> Demand:
+def decode_demand(data: bytes) -> Demand:
     """Return a demand from bytes; without any nothing is offered.
 
     Raises:
@@ -159,7 +159,7 @@
     if heaviest_bytes < 0 or heaviest_bytes % _HEAVY.size:
         msg = f"{len(data)} bytes with {data[0]} keys are no complete demand"
         raise ValueError(msg)
-    if data[0] > MOST_KEYS_SENT or heaviest_bytes > MOST_HEAVIEST_SENT * _HEAVY.size:
+    if data[0] > MAX_SENT_KEYS or heaviest_bytes > MAX_SENT_WORKSPACES * _HEAVY.size:
         msg = f"{len(data)} bytes with {data[0]} keys are too large a demand"
         raise ValueError(msg)
     keys = _KEY.iter_unpack(data[_COUNT_BYTES:heaviest_start])
@@ -208,7 +208,7 @@
         self._round += 1
         each_bytes = most_bytes // len(demands)
         told = {
-            one: packed(Demand(demand.offers_per_s, {}), most_bytes=each_bytes)
+            one: encode_demand(Demand(demand.offers_per_s, {}), max_bytes=each_bytes)
             for one, demand in demands.items()
         }
         offered = [one for one, data in told.items() if data]
@@ -217,7 +217,7 @@
         for one in offered[:_MOST_TOLD_HEAVIEST]:
             self._told_rounds[one] = self._round
             offers_bytes = len(told[one])
-            told[one] = packed(demands[one], most_bytes=offers_bytes + left_bytes)
+            told[one] = encode_demand(demands[one], max_bytes=offers_bytes + left_bytes)
             left_bytes -= len(told[one]) - offers_bytes
         return told
 
@@ -256,7 +256,7 @@
         self._slices: collections.deque[_Slice] = collections.deque()
         self._newest = _Slice(-1)
 
-    def offered(self, key: DemandKey, workspace: int, *, now_s: float) -> None:
+    def record_offer(self, key: DemandKey, workspace: int, *, now_s: float) -> None:
         """Count an offer.
 
         Args:
@@ -332,7 +332,7 @@
     """Return a demand of as many entries as a sum keeps."""
     return Demand(
         _largest(offers_per_s, most=MOST_KEYS_KEPT),
-        _largest(heaviest_per_s, most=MOST_HEAVIEST_KEPT),
+        _largest(heaviest_per_s, most=MAX_SUMMED_WORKSPACES),
     )
 
 
--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -35,8 +35,8 @@
         self._sent: dict[int, _Sent] = {}
         self._round = 0
 
-    def pick(
-        self, servers: Mapping[int, ServerTotals], *, most: int
+    def select(
+        self, servers: Mapping[int, ServerTotals], *, limit: int
     ) -> dict[int, ServerTotals]:
         """Return what to tell next, and count it as told.
 
@@ -50,7 +50,7 @@
             numbers,
             key=lambda one: (-self._change(one, servers), self._told_round(one), one),
         )
-        picked = {one: servers.get(one, _NO_STREAMS) for one in order[:most]}
+        picked = {one: servers.get(one, _NO_STREAMS) for one in order[:limit]}
         for number, totals in picked.items():
             self._note(number, totals)
         return picked
--- a/src/violethatch/load_sums.py
+++ b/src/violethatch/load_sums.py
@@ -24,7 +24,7 @@
 from typing import NamedTuple
 
 from .demand import (
-    MOST_HEAVIEST_SENT,
+    MAX_SENT_WORKSPACES,
     NO_DEMAND,
     Demand,
     DemandKey,
@@ -104,7 +104,7 @@
 
 
 #: What nobody has.
-NOTHING = LoadTotals(0, 0.0, {})
+EMPTY_LOAD = LoadTotals(0, 0.0, {})
 _NO_STREAMS = ServerTotals(0, 0.0)
 
 
@@ -196,7 +196,7 @@
             for entry, named_s in self.named_s.items()
             if now_s - named_s <= UNNAMED_LIFE_S
         }
-        if len(named_per_s) < MOST_HEAVIEST_SENT:
+        if len(named_per_s) < MAX_SENT_WORKSPACES:
             return named_per_s
         least_per_s = min(named_per_s.values())
         unnamed_per_s = {
@@ -238,7 +238,7 @@
         #: Since when an instance is told without a word from it.
         self._unanswered_since_s: dict[str, float] = {}
         self._suspicions: dict[str, _Suspicion] = {}
-        self._others: LoadTotals = NOTHING
+        self._others: LoadTotals = EMPTY_LOAD
         #: The directory's revision that the ranks are of, and by zone its
         #: instances' ids, the root first.
         self._ranks_revision = -1
@@ -250,7 +250,7 @@
         """What all other instances have, as of the last `refresh`."""
         return self._others
 
-    def take(
+    def update(
         self, sender: str, direction: Direction, change: LoadTotals, *, now_s: float
     ) -> bool:
         """Take in what an instance tells; tell whether it is a neighbour's word.
--- a/src/violethatch/request_room.py
+++ b/src/violethatch/request_capacity.py
@@ -23,7 +23,7 @@
 _SKEW = 2.0
 
 
-class RequestRoom:
+class RequestCapacity:
     """What one instance decides of its room, from check to check.
 
     .. versionadded:: 26.7.0
--- a/src/violethatch/turning_away.py
+++ b/src/violethatch/retry_delay.py
@@ -26,7 +26,9 @@
 _SPREAD_PART = 0.5
 
 
-def come_back_s(blocked_s: float, *, asked_s: float = 0.0, rng: random.Random) -> float:
+def retry_delay_s(
+    blocked_s: float, *, requested_backoff_s: float = 0.0, rng: random.Random
+) -> float:
     """Return what to tell a caller who was turned away, in seconds.
 
     Args:
@@ -38,5 +40,5 @@
     .. versionadded:: 26.2.0
     """
     guessed_s = min(MOST_S, max(LEAST_S, blocked_s))
-    spread_s = _SPREAD_PART * min(MOST_S, max(guessed_s, asked_s))
-    return round(max(guessed_s, asked_s) + spread_s * rng.random(), 2)
+    spread_s = _SPREAD_PART * min(MOST_S, max(guessed_s, requested_backoff_s))
+    return round(max(guessed_s, requested_backoff_s) + spread_s * rng.random(), 2)
--- a/src/violethatch/stream_loads.py
+++ b/src/violethatch/stream_loads.py
@@ -20,7 +20,7 @@
 from .backends import BackendServer
 from .demand import NO_DEMAND, Demand
 from .engine_model import EngineSpec
-from .load_sums import NOTHING, LoadTotals, ServerTotals, server_number
+from .load_sums import EMPTY_LOAD, LoadTotals, ServerTotals, server_number
 from .paths import LayerMap, Path, Stage
 from .upstream import ServerLoad
 
@@ -70,7 +70,7 @@
         #: Times and durations in ms of own transfers between zones.
         self._crossings: collections.deque[tuple[float, float]] = collections.deque()
         self._reports: dict[str, _Report] = {}
-        self._others: LoadTotals = NOTHING
+        self._others: LoadTotals = EMPTY_LOAD
         self._others_updated_s = 0.0
         #: The mean duration of own streams, in seconds; None until a stream has ended.
         self._mean_stream_s: float | None = None
--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -10,7 +10,13 @@
 
 from test_instances import entry
 from violethatch import _load_link
-from violethatch.demand import Demand, DemandCounter, DemandFeed, DemandKey, unpacked
+from violethatch.demand import (
+    Demand,
+    DemandCounter,
+    DemandFeed,
+    DemandKey,
+    decode_demand,
+)
 from violethatch.instances import InstanceDirectory
 from violethatch.load_sums import LoadSums, LoadTotals
 
@@ -133,7 +139,7 @@
         while at_s < self.now_s:
             priority = self.rng.choice(PRIORITIES)
             workspace = self.rng.choices(WORKSPACES, offers.weights)[0]
-            counter.offered(DemandKey(SERVICE, priority), workspace, now_s=at_s)
+            counter.record_offer(DemandKey(SERVICE, priority), workspace, now_s=at_s)
             self.offered_s.append(at_s)
             if offers.is_random:
                 at_s += self.rng.expovariate(offers.per_s)
@@ -146,7 +152,7 @@
         sums = self.sums[one]
         sums.refresh(now_s=self.now_s)
         neighbours = sums.neighbours(now_s=self.now_s)
-        told = min(len(neighbours), _load_link.MOST_TOLD_A_TICK)
+        told = min(len(neighbours), _load_link.MAX_RECIPIENTS_PER_TICK)
         if not told:
             return []
         demand = self.counters[one].demand(now_s=self.now_s)
@@ -162,7 +168,12 @@
             most_bytes=_load_link.most_demand_bytes(told),
         )
         return [
-            (one, to, neighbours[to], totals._replace(demand=unpacked(demands[to])))
+            (
+                one,
+                to,
+                neighbours[to],
+                totals._replace(demand=decode_demand(demands[to])),
+            )
             for to, totals in said.items()
         ]
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,12 +23,12 @@
 from violethatch import _governed_service, clocks
 from violethatch._admission import Admission, StartRequest
 from violethatch.admission_preview import active_section, parse_state, preview
+from violethatch.capacity import Room
 from violethatch.demand import NO_DEMAND, RUNNING, Demand, DemandKey
 from violethatch.errors import NotAdmittedError
 from violethatch.load_sums import server_number
 from violethatch.paths import Path, Stage
 from violethatch.return_slots import Claim, ClaimOutcome, Slot
-from violethatch.room import Room
 from violethatch.router_settings import AdmissionMode, AdmissionSection
 from violethatch.streams import StreamCall
 
--- a/tests/test_admission_failures.py
+++ b/tests/test_admission_failures.py
@@ -15,6 +15,8 @@
 
 import pytest
 
+from violethatch.estimate_capacity import Targets, estimate_capacity
+
 import virtual_time
 
 from mortal_fleet import Network, instance_entries
@@ -27,7 +29,6 @@
 from violethatch.desired import ServiceSpec
 from violethatch.errors import VioletHatchError
 from violethatch.paths import LayerMap
-from violethatch.room import Targets, room
 from violethatch.router_settings import AdmissionMode, AdmissionSection
 from violethatch.upstream import ReachOutcome, TableView
 
@@ -38,10 +39,10 @@
 #: By path, the target for the first event; priorities are 0, 1 and 2 in this order.
 TARGETS_S = {"/urgent/": 0.5, "/usual/": 0.5, "/later/": 1.0}
 URGENT, USUAL, LATER = TARGETS_S
-ROOM = room(
+ROOM = estimate_capacity(
     LayerMap(RUNNERS.values(), ENGINE),
-    left_out=(),
-    paces={},
+    excluded=(),
+    slowdowns={},
     targets=Targets(0.5, 0.25),
 )
 #: What is asked for, in parts of the room: the double in all.
--- a/tests/test_admission_plan.py
+++ b/tests/test_admission_plan.py
@@ -26,8 +26,8 @@
     Planner,
     WorkspacePolicy,
 )
+from violethatch.capacity import Room
 from violethatch.load_sums import server_number
-from violethatch.room import Room
 
 
 #: Fleet A: starts per second planned and demanded, and the duration of a stream: a
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -17,19 +17,19 @@
 from demand_replay import KEY, of_workspaces
 from violethatch.demand import (
     COUNTS_KEPT,
-    MOST_BYTES,
-    MOST_HEAVIEST_KEPT,
-    MOST_HEAVIEST_SENT,
+    MAX_ENCODED_BYTES,
+    MAX_SENT_KEYS,
+    MAX_SENT_WORKSPACES,
+    MAX_SUMMED_WORKSPACES,
     MOST_KEYS_KEPT,
-    MOST_KEYS_SENT,
     NO_DEMAND,
     Demand,
     DemandCounter,
     DemandFeed,
     DemandKey,
-    packed,
+    decode_demand,
+    encode_demand,
     total_demand,
-    unpacked,
 )
 
 
@@ -37,9 +37,9 @@
 keys = st.builds(DemandKey, st.integers(0, 2**32 - 1), st.integers(0, 99))
 demands = st.builds(
     Demand,
-    st.dictionaries(keys, rates, max_size=MOST_KEYS_SENT),
+    st.dictionaries(keys, rates, max_size=MAX_SENT_KEYS),
     st.dictionaries(
-        st.tuples(keys, st.integers(0, 2**32 - 1)), rates, max_size=MOST_HEAVIEST_SENT
+        st.tuples(keys, st.integers(0, 2**32 - 1)), rates, max_size=MAX_SENT_WORKSPACES
     ),
 )
 
@@ -48,67 +48,69 @@
     @given(demands)
     def test_packed_demand_comes_back(self, demand):
         """Guards against a rate that arrives under another key or workspace."""
-        assert unpacked(packed(demand)) == demand
+        assert decode_demand(encode_demand(demand)) == demand
 
     @given(st.binary(max_size=400))
     def test_noise_is_a_value_error(self, data):
         """Guards against another exception, which would end the reader."""
         try:
-            demand = unpacked(data)
+            demand = decode_demand(data)
         except ValueError:
             return
-        assert len(demand.offers_per_s) <= MOST_KEYS_SENT
-        assert len(demand.heaviest_per_s) <= MOST_HEAVIEST_SENT
+        assert len(demand.offers_per_s) <= MAX_SENT_KEYS
+        assert len(demand.heaviest_per_s) <= MAX_SENT_WORKSPACES
 
     def test_layout(self):
         """Guards against a change of the wire format between versions."""
-        data = packed(Demand({KEY: 2.5}, {(KEY, 9): 1.5}))
+        data = encode_demand(Demand({KEY: 2.5}, {(KEY, 9): 1.5}))
         assert data == b"\1" + struct.pack("<IBHIBIH", 7, 1, 20, 7, 1, 9, 12)
 
     def test_incomplete_bytes_are_refused(self):
         """Guards against a datagram cut short that is read as less demand."""
-        data = packed(of_workspaces({1: 3.0, 2: 5.0}))
+        data = encode_demand(of_workspaces({1: 3.0, 2: 5.0}))
         whole = {len(data), len(data) - 11, len(data) - 22, 0}
         for length in set(range(len(data))) - whole:
             with pytest.raises(ValueError, match="complete"):
-                unpacked(data[:length])
+                decode_demand(data[:length])
 
     def test_too_many_entries_are_refused(self):
         """Guards against a datagram that makes the sums large."""
         for data in (bytes([13]) + bytes(13 * 7), b"\0" + bytes(9 * 11)):
             with pytest.raises(ValueError, match="large"):
-                unpacked(data)
+                decode_demand(data)
 
     def test_the_largest_go(self):
         """Guards against small keys or workspaces in the place of large ones."""
         offers = {DemandKey(7, priority): 1.0 + priority for priority in range(40)}
         heaviest = {(KEY, workspace): 1.0 + workspace for workspace in range(40)}
-        data = packed(Demand(offers, heaviest))
-        assert len(data) == MOST_BYTES
-        back = unpacked(data)
+        data = encode_demand(Demand(offers, heaviest))
+        assert len(data) == MAX_ENCODED_BYTES
+        back = decode_demand(data)
         assert list(back.offers_per_s.values()) == [40.0 - n for n in range(12)]
         assert list(back.heaviest_per_s.values()) == [40.0 - n for n in range(8)]
 
     def test_the_largest_go_first(self):
         """Guards against an order of the keys that depends on when they were seen."""
-        data = packed(Demand({KEY: 1.0, DemandKey(9, 0): 2.0}, {}))
-        assert list(unpacked(data).offers_per_s) == [DemandKey(9, 0), KEY]
+        data = encode_demand(Demand({KEY: 1.0, DemandKey(9, 0): 2.0}, {}))
+        assert list(decode_demand(data).offers_per_s) == [DemandKey(9, 0), KEY]
 
-    @given(demands, st.integers(0, MOST_BYTES))
+    @given(demands, st.integers(0, MAX_ENCODED_BYTES))
     def test_bytes_are_bounded(self, demand, most_bytes):
         """Guards against datagrams above their bytes; keys go before workspaces."""
-        data = packed(demand, most_bytes=most_bytes)
+        data = encode_demand(demand, max_bytes=most_bytes)
         assert len(data) <= most_bytes
-        back = unpacked(data)
+        back = decode_demand(data)
         assert back.offers_per_s.items() <= demand.offers_per_s.items()
         if back.heaviest_per_s:
             assert back.offers_per_s == demand.offers_per_s
 
     def test_rates_beyond_the_field(self):
         """Guards against an overflow that ends the sender; what rounds to 0 is none."""
-        assert unpacked(packed(Demand({KEY: 1e9}, {}))).offers_per_s == {KEY: 8191.875}
-        assert packed(Demand({KEY: 0.06}, {(KEY, 1): 0.06})) == b""
-        assert packed(NO_DEMAND) == b""
+        assert decode_demand(encode_demand(Demand({KEY: 1e9}, {}))).offers_per_s == {
+            KEY: 8191.875
+        }
+        assert encode_demand(Demand({KEY: 0.06}, {(KEY, 1): 0.06})) == b""
+        assert encode_demand(NO_DEMAND) == b""
 
 
 class TestTotalDemand:
@@ -132,8 +134,8 @@
         ]
         kept = total_demand(parts)
         assert len(kept.offers_per_s) == MOST_KEYS_KEPT
-        assert len(kept.heaviest_per_s) == MOST_HEAVIEST_KEPT
-        assert min(kept.heaviest_per_s.values()) == 200 - MOST_HEAVIEST_KEPT + 1
+        assert len(kept.heaviest_per_s) == MAX_SUMMED_WORKSPACES
+        assert min(kept.heaviest_per_s.values()) == 200 - MAX_SUMMED_WORKSPACES + 1
 
 
 class TestDemandCounter:
@@ -141,7 +143,7 @@
         """Guards against offers that are lost early or counted for longer."""
         counter = DemandCounter()
         for n in range(40):
-            counter.offered(KEY, n % 2, now_s=100.0 + n / 40)
+            counter.record_offer(KEY, n % 2, now_s=100.0 + n / 40)
         assert counter.demand(now_s=101.0) == of_workspaces({0: 20.0, 1: 20.0})
         half = counter.demand(now_s=101.5).offers_per_s[KEY]
         assert half == pytest.approx(20.0)
@@ -152,7 +154,7 @@
         counter = DemandCounter()
         for n in range(4000):
             now_s = 50.0 + n / 1000
-            counter.offered(KEY, 1, now_s=now_s)
+            counter.record_offer(KEY, 1, now_s=now_s)
             if n >= 1000:
                 rate = counter.demand(now_s=now_s).offers_per_s[KEY]
                 assert rate == pytest.approx(1000.0, abs=2.0)
@@ -160,8 +162,8 @@
     def test_pause_leaves_nothing(self):
         """Guards against offers before a pause that count after it."""
         counter = DemandCounter()
-        counter.offered(KEY, 1, now_s=5.0)
-        counter.offered(KEY, 2, now_s=5000.0)
+        counter.record_offer(KEY, 1, now_s=5.0)
+        counter.record_offer(KEY, 2, now_s=5000.0)
         assert counter.demand(now_s=5000.1) == of_workspaces({2: 1.0})
 
     @pytest.mark.parametrize("seed", range(50))
@@ -177,7 +179,7 @@
             key = DemandKey(workspace if n % 2 else 7, 1)
             right[key] += 1
             right[key, workspace] += 1
-            counter.offered(key, workspace, now_s=100.0 + n / offers)
+            counter.record_offer(key, workspace, now_s=100.0 + n / offers)
         known = counter.demand(now_s=101.0)
         most_missing = offers / (COUNTS_KEPT + 1)
         for heavy in range(10):
@@ -195,7 +197,7 @@
         tracemalloc.start()
         try:
             for n in range(40_000):
-                counter.offered(DemandKey(n, 1), n, now_s=100.0 + n / 20_000)
+                counter.record_offer(DemandKey(n, 1), n, now_s=100.0 + n / 20_000)
                 if n == 20_000:
                     early_bytes, _ = tracemalloc.get_traced_memory()
             late_bytes, _ = tracemalloc.get_traced_memory()
@@ -215,7 +217,7 @@
             for batch in range(5):
                 started_s = time.process_time()
                 for n, name in enumerate(names):
-                    counter.offered(KEY, name, now_s=batch + n / 5000)
+                    counter.record_offer(KEY, name, now_s=batch + n / 5000)
                 batches_s.append((time.process_time() - started_s) / len(names))
             costs_s.append(min(batches_s))
         assert max(costs_s) < 10e-6
@@ -231,7 +233,7 @@
             told = feed.pack(dict.fromkeys("abcde", demand), most_bytes=310)
             assert sum(map(len, told.values())) <= 310
             for one, data in told.items():
-                back = unpacked(data)
+                back = decode_demand(data)
                 assert back.offers_per_s == demand.offers_per_s
                 named[one] += back.heaviest_per_s == demand.heaviest_per_s
         assert min(named[one] for one in "abcde") >= 2
@@ -244,7 +246,7 @@
             feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
         feed.forget("c")
         told = feed.pack(dict.fromkeys("abcd", demand), most_bytes=310)
-        assert unpacked(told["c"]).heaviest_per_s
+        assert decode_demand(told["c"]).heaviest_per_s
 
     def test_nothing_offered_is_nothing_told(self):
         """Guards against bytes where no service is governed."""
--- a/tests/test_demand_sums.py
+++ b/tests/test_demand_sums.py
@@ -27,7 +27,7 @@
     def __init__(self, demand):
         self._demand = demand
 
-    def offered(self, key, workspace, *, now_s):
+    def record_offer(self, key, workspace, *, now_s):
         """Leave an offer out."""
 
     def demand(self, *, now_s):
--- a/tests/test_load_changes.py
+++ b/tests/test_load_changes.py
@@ -19,28 +19,28 @@
     def test_largest_change_goes_first(self):
         """What matters most to the receiver doesn't wait."""
         feed = ChangeFeed()
-        assert list(feed.pick(totals(s1=1, s2=9, s3=4), most=2)) == [2, 3]
+        assert list(feed.select(totals(s1=1, s2=9, s3=4), limit=2)) == [2, 3]
 
     def test_what_was_left_out_goes_next(self):
         """Nothing waits for ever."""
         feed = ChangeFeed()
-        feed.pick(totals(s1=1, s2=9, s3=4), most=2)
-        assert list(feed.pick(totals(s1=1, s2=9, s3=4), most=1)) == [1]
+        feed.select(totals(s1=1, s2=9, s3=4), limit=2)
+        assert list(feed.select(totals(s1=1, s2=9, s3=4), limit=1)) == [1]
 
     def test_lost_word_is_told_again(self):
         """Without changes the oldest word is told anew."""
         feed = ChangeFeed()
         same = totals(s1=1, s2=2)
-        told = [next(iter(feed.pick(same, most=1))) for _ in range(4)]
+        told = [next(iter(feed.select(same, limit=1))) for _ in range(4)]
         assert told == [2, 1, 2, 1]
 
     def test_end_is_told(self):
         """A server that has no streams any more is told of, and then no more."""
         feed = ChangeFeed()
-        feed.pick(totals(s1=1), most=5)
-        assert feed.pick({}, most=5) == {1: ServerTotals(0, 0.0)}
-        feed.pick({}, most=5)
-        assert feed.pick({}, most=5) == {}
+        feed.select(totals(s1=1), limit=5)
+        assert feed.select({}, limit=5) == {1: ServerTotals(0, 0.0)}
+        feed.select({}, limit=5)
+        assert feed.select({}, limit=5) == {}
 
     @given(st.dictionaries(st.integers(0, 50), st.integers(1, 90)), st.integers(1, 9))
     def test_receiver_comes_to_know_all(self, streams, most):
@@ -49,7 +49,7 @@
         feed = ChangeFeed()
         known = {}
         for _ in range(len(servers) // most + 1):
-            picked = feed.pick(servers, most=most)
+            picked = feed.select(servers, limit=most)
             assert len(picked) <= most
             known.update(picked)
         assert known == servers
--- a/tests/test_load_link.py
+++ b/tests/test_load_link.py
@@ -22,14 +22,14 @@
 from violethatch._load_link import LoadLink
 from violethatch._peer_datagrams import LoadDatagram, PeerDatagrams, encoded
 from violethatch.demand import (
-    MOST_HEAVIEST_SENT,
-    MOST_KEYS_SENT,
+    MAX_SENT_KEYS,
+    MAX_SENT_WORKSPACES,
     NO_DEMAND,
     Demand,
     DemandFeed,
     DemandKey,
-    packed,
-    unpacked,
+    decode_demand,
+    encode_demand,
 )
 from violethatch.event_loop import EventLoop
 from violethatch.instances import InstanceDirectory
@@ -43,8 +43,8 @@
 OFFERED = Demand({KEY: 12.0}, {(KEY, 3): 8.0, (KEY, 4): 4.0})
 #: As much as a datagram may hold.
 MUCH_OFFERED = Demand(
-    {DemandKey(7, priority): 50.0 for priority in range(MOST_KEYS_SENT)},
-    {(KEY, workspace): 20.0 for workspace in range(MOST_HEAVIEST_SENT)},
+    {DemandKey(7, priority): 50.0 for priority in range(MAX_SENT_KEYS)},
+    {(KEY, workspace): 20.0 for workspace in range(MAX_SENT_WORKSPACES)},
 )
 
 
@@ -200,7 +200,7 @@
     @pytest.mark.parametrize("neighbours", [1, 2, 4])
     def test_bytes_of_a_second_are_bounded(self, neighbours):
         """However many are told, and however much there is to tell."""
-        most = _load_link.most_servers(neighbours)
+        most = _load_link.max_servers(neighbours)
         servers = dict.fromkeys(range(most), ServerTotals(90, 1e6))
         message = LoadDatagram(
             token="0" * 16,
@@ -215,7 +215,9 @@
         ticks = 1 / _load_link.TICK_S
         assert datagram_bytes * neighbours * ticks <= 4000
 
-    @pytest.mark.parametrize("neighbours", range(1, _load_link.MOST_TOLD_A_TICK + 1))
+    @pytest.mark.parametrize(
+        "neighbours", range(1, _load_link.MAX_RECIPIENTS_PER_TICK + 1)
+    )
     @pytest.mark.parametrize("demand", [OFFERED, MUCH_OFFERED])
     def test_bytes_with_demand_are_bounded(self, neighbours, demand):
         """Guards against demand that takes more than control has beside loads."""
@@ -225,8 +227,8 @@
                 {str(n): demand for n in range(neighbours)},
                 most_bytes=_load_link.most_demand_bytes(neighbours),
             )
-            assert all(unpacked(data).offers_per_s for data in demands.values())
-            most = _load_link.most_servers(neighbours, demands.values())
+            assert all(decode_demand(data).offers_per_s for data in demands.values())
+            most = _load_link.max_servers(neighbours, demands.values())
             servers = dict.fromkeys(range(most), ServerTotals(90, 1e6))
             tick_bytes = sum(
                 28  # of IP and UDP
@@ -255,8 +257,8 @@
         assert encoded(LoadDatagram(*fields)) == before
         for neighbours in range(1, 7):
             none = [b""] * neighbours
-            most = _load_link.most_servers(neighbours, none)
-            assert most == _load_link.most_servers(neighbours)
+            most = _load_link.max_servers(neighbours, none)
+            assert most == _load_link.max_servers(neighbours)
 
     def test_versions_understand_each_other(self):
         """Guards against loads that are lost while a fleet is upgraded."""
@@ -264,10 +266,10 @@
         before = msgspec.msgpack.encode(LoadDatagramBefore(*fields))
         read = msgspec.msgpack.decode(before, type=LoadDatagram)
         assert read == LoadDatagram(*fields)
-        now = encoded(LoadDatagram(*fields, demand=packed(OFFERED)))
+        now = encoded(LoadDatagram(*fields, demand=encode_demand(OFFERED)))
         read_before = msgspec.msgpack.decode(now, type=LoadDatagramBefore)
         assert read_before == LoadDatagramBefore(*fields)
-        assert unpacked(msgspec.msgpack.decode(now, type=LoadDatagram).demand) == (
+        assert decode_demand(msgspec.msgpack.decode(now, type=LoadDatagram).demand) == (
             OFFERED
         )
 
@@ -275,7 +277,9 @@
         """Guards against sums taken from a datagram that can't be understood."""
         datagrams = PeerDatagrams(InstanceDirectory(entry("i0")._replace(token="t")))
         link = LoadLink(datagrams, StreamLoads())
-        message = LoadDatagram("t", "i1", "u", 1, 0.0, 0, b"", packed(OFFERED)[:-1])
+        message = LoadDatagram(
+            "t", "i1", "u", 1, 0.0, 0, b"", encode_demand(OFFERED)[:-1]
+        )
         with pytest.raises(ValueError, match="complete"):
             link._take(message)
         datagrams.datagram_received(encoded(message), None)
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from test_instances import entry
-from violethatch.demand import MOST_HEAVIEST_SENT, NO_DEMAND, Demand, DemandKey
+from violethatch.demand import MAX_SENT_WORKSPACES, NO_DEMAND, Demand, DemandKey
 from violethatch.instances import InstanceDirectory
 from violethatch.load_sums import (
+    EMPTY_LOAD,
     FAN_OUT,
     HEAVIEST_LIFE_S,
-    NOTHING,
     SUSPECTED_S,
     TOLD_LIFE_S,
     UNNAMED_LIFE_S,
@@ -74,7 +74,7 @@
                     words.append((one, to, direction, said))
             for one, to, direction, said in words:
                 if to not in self.dead and not self.loss(one, to):
-                    self.sums[to].take(one, direction, said, now_s=self.now_s)
+                    self.sums[to].update(one, direction, said, now_s=self.now_s)
         for sums in self.sums.values():
             sums.refresh(now_s=self.now_s)
 
@@ -95,7 +95,7 @@
 class TestTotals:
     def test_sum_adds_everything(self):
         """Instances, the pipe's time and each server's totals add up."""
-        both = total([own(2), own(3), NOTHING])
+        both = total([own(2), own(3), EMPTY_LOAD])
         assert both == LoadTotals(2, 4.0, {7: ServerTotals(5, 500.0)})
         assert both.demand is NO_DEMAND
 
@@ -209,7 +209,7 @@
         assert one.others.instances == 1
         later_s = fleet.now_s + TOLD_LIFE_S + 0.1
         one.refresh(now_s=later_s)
-        assert one.others == NOTHING
+        assert one.others == EMPTY_LOAD
 
     def test_age_grows_with_the_way(self):
         """A sum says how old it is on average, by who told it and when."""
@@ -222,7 +222,7 @@
     def test_stranger_s_word_is_not_summed(self):
         """What comes from elsewhere than parent, children or roots is left out."""
         sums = Fleet([5, 2]).sums["0-0"]
-        assert not sums.take("0-9", Direction.UP, own(3), now_s=0.0)
+        assert not sums.update("0-9", Direction.UP, own(3), now_s=0.0)
 
 
 class TestToldDemand:
@@ -234,7 +234,7 @@
         for at_s, heaviest in words:
             demand = Demand({KEY: 90.0}, {(KEY, n): r for n, r in heaviest.items()})
             change = own(1)._replace(demand=demand)
-            assert sums.take("1-0", Direction.ACROSS, change, now_s=at_s)
+            assert sums.update("1-0", Direction.ACROSS, change, now_s=at_s)
         sums.refresh(now_s=now_s)
         heaviest_per_s = sums.others.demand.heaviest_per_s
         return {workspace: rate for (_, workspace), rate in heaviest_per_s.items()}
@@ -257,7 +257,7 @@
 
     def test_full_list_leaves_some_out(self):
         """Guards against workspaces that come and go at the end of full lists."""
-        full = {n: 9.0 + n for n in range(MOST_HEAVIEST_SENT)}
+        full = {n: 9.0 + n for n in range(MAX_SENT_WORKSPACES)}
         first = {**full, 99: 20.0}
         del first[0]
         known = self.known((0.0, first), (0.5, full), now_s=0.5)
--- a/tests/test_request_room.py
+++ b/tests/test_request_room.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from violethatch.request_room import RequestRoom, may_connect
+from violethatch.request_capacity import RequestCapacity, may_connect
 
 
 MAX_REQUESTS = 400
@@ -23,7 +23,7 @@
 class TestRequestRoom:
     def test_instance_that_most_requests_come_to_is_full(self):
         """Before it has to refuse any, and until half of its room is free."""
-        room = RequestRoom()
+        room = RequestCapacity()
         assert check(room, 299, 10.0)
         assert not check(room, 300, 10.0)
         assert not check(room, 201, 10.0)
@@ -32,7 +32,7 @@
 
     def test_instance_that_is_as_full_as_the_others_goes_on(self):
         """Nobody would be served elsewhere."""
-        room = RequestRoom()
+        room = RequestCapacity()
         assert check(room, 400, 210.0)
         assert check(room, 400, None)
         assert not check(room, 400, 100.0)
@@ -69,7 +69,7 @@
     def __init__(self, instances, rate_a_s, seed):
         self.rng = random.Random(seed)
         self.rate_a_s = rate_a_s
-        self.rooms = [RequestRoom() for _ in range(instances)]
+        self.rooms = [RequestCapacity() for _ in range(instances)]
         self.in_flight = [0] * instances
         self.failed = [0] * instances
         self.reported = list(self.in_flight)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -14,12 +14,12 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from violethatch.estimate_capacity import Room, Targets, estimate_capacity
 
 from routing_samples import engine, runner
 from violethatch.engine_model import HOP_MS, AcceleratorKind
 from violethatch.paths import LayerMap
 from violethatch.placement import Host, divide
-from violethatch.room import Room, Targets, room
 
 
 TARGETS = Targets(0.5, 0.25)
@@ -262,7 +262,9 @@
         missed = {}
         for seed in range(50):
             lost = lost_runners(fleet, random.Random(seed))
-            one = room(planned(fleet), left_out=lost, paces={}, targets=targets)
+            one = estimate_capacity(
+                planned(fleet), excluded=lost, slowdowns={}, targets=targets
+            )
             served = reference(fleet, lost)
             if (one.streams, one.starts_per_s) != pytest.approx(served, rel=TOLERANCE):
                 missed[seed] = (one, served)
@@ -294,7 +296,7 @@
 
     sys.setprofile(note)
     try:
-        room(layer_map, left_out=left_out, paces={}, targets=TARGETS)
+        estimate_capacity(layer_map, excluded=left_out, slowdowns={}, targets=TARGETS)
     finally:
         sys.setprofile(None)
     return count
@@ -303,7 +305,9 @@
 def found(servers, spec=None, *, left_out=(), paces=None, targets=TARGETS):
     """Return the room of some runners."""
     layer_map = LayerMap(servers, spec or engine())
-    return room(layer_map, left_out=left_out, paces=paces or {}, targets=targets)
+    return estimate_capacity(
+        layer_map, excluded=left_out, slowdowns=paces or {}, targets=targets
+    )
 
 
 def chain(name, *, zone="z1", **changes):
