--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -37,6 +37,7 @@
     encoded,
 )
 from violethatch.admission_plan import Admitter, Plan, Planner, WorkspacePolicy
+from violethatch.capacity import Room, Targets, estimate_capacity
 from violethatch.demand import (
     MAX_ENCODED_BYTES,
     MAX_SENT_KEYS,
@@ -360,7 +361,7 @@
     show("of it keys", keys_only, "bytes")
     four = len(encode_demand(Demand(dict(list(demand.offers_per_s.items())[:3]), {})))
     show("a demand of three priorities, no workspaces", four, "bytes")
-    print(f"{MOST_HEAVIEST_SENT} workspaces sent, {instances} instances")
+    print(f"{MAX_SENT_WORKSPACES} workspaces sent, {instances} instances")
 
 
 def show_queue() -> None:
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -12,6 +12,7 @@
 from . import clocks
 from ._flow_control import FlowController
 from .backends import BackendServer, BackendTable
+from .capacity import Room, Targets, estimate_capacity
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
 from .estimate_capacity import Room, Targets, estimate_capacity
--- a/src/violethatch/capacity.py
+++ b/src/violethatch/capacity.py
@@ -170,8 +170,8 @@
 
     Args:
         layer_map: The runners of the service, in all zones.
-        left_out: Ids of runners that are not usable.
-        paces: By id, how many times longer slow runners take for a step.
+        excluded: Ids of runners that are not usable.
+        slowdowns: By id, how many times longer slow runners take for a step.
         targets: What callers need; a time that is not positive bounds nothing.
 
     .. versionadded:: 26.5.0
--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -123,7 +123,7 @@
     Args:
         demand: What is to be packed; rates are rounded to eighths per second, at most
             8,191.875, and what rounds to 0 is left out.
-        most_bytes: What must not be exceeded.  Keys go before workspaces, of both the
+        max_bytes: What must not be exceeded.  Keys go before workspaces, of both the
             largest first.
 
     .. versionadded:: 26.5.0
--- a/src/violethatch/load_changes.py
+++ b/src/violethatch/load_changes.py
@@ -42,7 +42,7 @@
 
         Args:
             servers: All totals as they stand, by the server's number.
-            most: The most servers that fit.
+            limit: The most servers that fit.
         """
         self._round += 1
         numbers = servers.keys() | self._sent.keys()
--- a/src/violethatch/retry_delay.py
+++ b/src/violethatch/retry_delay.py
@@ -33,8 +33,8 @@
 
     Args:
         blocked_s: How long what blocks the caller is thought to last, in seconds.
-        asked_s: Until when servers have asked for rest, in seconds: that is no guess,
-            so that whoever comes back sooner is turned away again.
+        requested_backoff_s: Until when servers have asked for rest, in seconds: that is
+            no guess, so that whoever comes back sooner is turned away again.
         rng: Spreads callers.
 
     .. versionadded:: 26.2.0
--- a/tests/demand_replay.py
+++ b/tests/demand_replay.py
@@ -184,7 +184,7 @@
             if to in self.dead or draw < self.loss:
                 continue
             for _ in range(2 if draw > 1 - self.doubled else 1):
-                self.sums[to].take(one, direction, said, now_s=self.now_s)
+                self.sums[to].update(one, direction, said, now_s=self.now_s)
         words.clear()
 
     def known(self, one):
--- a/tests/test_admission_failures.py
+++ b/tests/test_admission_failures.py
@@ -26,6 +26,7 @@
 from violethatch._peer_datagrams import LoadDatagram
 from violethatch._peer_links import PeerLinks
 from violethatch._router import Router
+from violethatch.capacity import Targets, estimate_capacity
 from violethatch.desired import ServiceSpec
 from violethatch.errors import VioletHatchError
 from violethatch.paths import LayerMap
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -17,6 +17,7 @@
 from violethatch.estimate_capacity import Room, Targets, estimate_capacity
 
 from routing_samples import engine, runner
+from violethatch.capacity import Room, Targets, estimate_capacity
 from violethatch.engine_model import HOP_MS, AcceleratorKind
 from violethatch.paths import LayerMap
 from violethatch.placement import Host, divide
