--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -23,8 +23,6 @@
 
 import eliot
 
-from violethatch.estimate_capacity import Room, Targets, estimate_capacity
-
 from decision_costs import placed_servers
 from violethatch import clocks
 from violethatch._admission import Admission, StartRequest
@@ -41,6 +39,7 @@
 from violethatch.demand import (
     MAX_ENCODED_BYTES,
     MAX_SENT_KEYS,
+    MAX_SENT_WORKSPACES,
     MAX_SUMMED_WORKSPACES,
     Demand,
     DemandCounter,
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -15,7 +15,6 @@
 from .capacity import Room, Targets, estimate_capacity
 from .desired import ServiceSpec
 from .engine_model import EngineSpec
-from .estimate_capacity import Room, Targets, estimate_capacity
 from .local_paths import FULL, NearFirst
 from .membership import rendezvous
 from .path_shares import (
--- a/tests/test_admission_failures.py
+++ b/tests/test_admission_failures.py
@@ -15,8 +15,6 @@
 
 import pytest
 
-from violethatch.estimate_capacity import Targets, estimate_capacity
-
 import virtual_time
 
 from mortal_fleet import Network, instance_entries
--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -44,7 +44,7 @@
     def test_gifts_are_used_first(self):
         """They last a short time; the own part stays."""
         one = share(64)
-        one.take(1.0, now_s=0.0)
+        one.add_grant(1.0, now_s=0.0)
         own = one.own_budget.balance
         assert one.withdraw(now_s=0.1)
         assert one.own_budget.balance == own
@@ -62,7 +62,7 @@
         """What was given is not saved up beside what the giver earns anew."""
         one = share(64)
         one.own_budget.balance = 0.0
-        one.take(5.0, now_s=0.0)
+        one.add_grant(5.0, now_s=0.0)
         assert not one.withdraw(now_s=GIFT_LIFE_S)
 
     def test_given_is_taken_off(self):
@@ -76,7 +76,7 @@
         """They could go round, and never end."""
         one = share(64)
         one.own_budget.balance = 0.0
-        one.take(5.0, now_s=0.0)
+        one.add_grant(5.0, now_s=0.0)
         assert one.grant(8.0) == 0.0
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -14,7 +14,6 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from violethatch.estimate_capacity import Room, Targets, estimate_capacity
 
 from routing_samples import engine, runner
 from violethatch.capacity import Room, Targets, estimate_capacity
