--- a/src/violethatch/_return_link.py
+++ b/src/violethatch/_reservation_link.py
@@ -31,13 +31,13 @@
 )
 from .instances import InstanceEntry
 from .membership import rendezvous
-from .return_slots import (
+from .start_reservations import (
     UNKNOWN,
     Claim,
     ClaimOutcome,
-    ReservedStarts,
-    ReturnSlots,
-    Slot,
+    ReservationStore,
+    RetrySlot,
+    RetrySlots,
 )
 from .work_ids import check_work_id
 
@@ -70,7 +70,7 @@
     best_result: asyncio.Future[Claim]
 
 
-class ReturnLink:
+class ReservationLink:
     """Reserves starts for rejected requests, and claims them for their retries.
 
     Args:
@@ -83,8 +83,8 @@
         self._directory = datagrams.directory
         self._rng = rng
         self._numbers = itertools.count(rng.getrandbits(30))
-        self._slots: dict[str, ReturnSlots] = {}
-        self._reservations = ReservedStarts()
+        self._slots: dict[str, RetrySlots] = {}
+        self._reservations = ReservationStore()
         self._pending: dict[int, _PendingClaim] = {}
         #: The result of a claim by sender and number.
         self._results: dict[tuple[str, int], Claim] = {}
@@ -100,8 +100,8 @@
         priority: int,
         *,
         starts_per_s: float,
-        most_s: float,
-    ) -> Slot:
+        max_delay_s: float,
+    ) -> RetrySlot:
         """Reserve a start for a rejected request, and send it to the replicas.
 
         Args:
@@ -113,10 +113,10 @@
         """
         slots = self._slots.get(service)
         if slots is None:
-            slots = self._slots[service] = ReturnSlots(rng=self._rng)
+            slots = self._slots[service] = RetrySlots(rng=self._rng)
         now_s = clocks.now_s()
         slot = slots.reserve(
-            priority, starts_per_s=starts_per_s, most_s=most_s, now_s=now_s
+            priority, starts_per_s=starts_per_s, max_delay_s=max_delay_s, now_s=now_s
         )
         if slot.is_reserved:
             self._replicate(work, slot.at_s, now_s=now_s)
@@ -178,7 +178,7 @@
         left_ms = min(LONGEST_LEFT_MS, max(0, round((at_s - now_s) * _MS_PER_S)))
         for replica in self._replicas(work):
             if replica.id == own_id:
-                self._reservations.keep(work, at_s, now_s=now_s)
+                self._reservations.add(work, at_s, now_s=now_s)
             else:
                 message = ReservedDatagram(replica.token, own_id, work, left_ms)
                 self._datagrams.send(replica, message)
@@ -207,7 +207,7 @@
         check_work_id(message.work)
         now_s = clocks.now_s()
         at_s = now_s + message.left_ms / _MS_PER_S
-        self._reservations.keep(message.work, at_s, now_s=now_s)
+        self._reservations.add(message.work, at_s, now_s=now_s)
 
     def _on_claim(self, message: ClaimDatagram) -> None:
         """Handle a claim; a duplicate gets the same result.
--- a/src/violethatch/start_queue.py
+++ b/src/violethatch/start_queue.py
@@ -46,7 +46,7 @@
 _MAX_SPARE_FRACTION = 0.25
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request to queue for a start.
 
     Times are seconds of `clocks.now_s()`.
@@ -83,11 +83,11 @@
     .. versionadded:: 26.5.0
     """
 
-    is_taken: bool
-    displaced: Waiting | None
+    is_queued: bool
+    displaced: QueuedRequest | None
 
 
-_REFUSED = Offer(is_taken=False, displaced=None)
+_REFUSED = Offer(is_queued=False, displaced=None)
 
 
 class _RecentOffer:
@@ -105,7 +105,7 @@
 class _Entry(NamedTuple):
     """A queued request with its offer."""
 
-    request: Waiting
+    request: QueuedRequest
     number: int
     record: _RecentOffer
 
@@ -205,7 +205,7 @@
                 best = rank if best is None else min(best, rank)
         return best[3] if best is not None else None
 
-    def start_next(self, now_s: float) -> Waiting | None:
+    def start_next(self, now_s: float) -> QueuedRequest | None:
         """Return the request to start now, and record its start in its group."""
         entry = self.next_entry(now_s)
         if entry is None:
@@ -215,7 +215,7 @@
         record.group.started += record.is_recent
         return request
 
-    def last_request(self) -> Waiting:
+    def last_request(self) -> QueuedRequest:
         """Return the request with the latest limit."""
         groups = (self.small.entries, self.large.entries)
         return max(entries[-1] for entries in groups if entries)[2].request
@@ -237,8 +237,8 @@
     .. versionadded:: 26.5.0
     """
 
-    def __init__(self, *, most_requests: int, most_bytes: int) -> None:
-        self._set_bounds(most_requests, most_bytes)
+    def __init__(self, *, max_requests: int, max_bytes: int) -> None:
+        self._set_bounds(max_requests, max_bytes)
         self._queues: dict[int, _PriorityQueue] = {}
         #: The priorities of the queues, in order of urgency.
         self._priorities: list[int] = []
@@ -274,7 +274,9 @@
         """
         return max(0.0, now_s - self._read_times[0][0]) if self._read_times else 0.0
 
-    def offer(self, request: Waiting, *, starts_per_s: float, now_s: float) -> Offer:
+    def offer(
+        self, request: QueuedRequest, *, starts_per_s: float, now_s: float
+    ) -> Offer:
         """Queue a request if it can start before its limit and memory is available.
 
         Args:
@@ -311,9 +313,9 @@
         queue.waiting += 1
         self._entries[request.id] = entry
         self._size_bytes += request.size_bytes
-        return Offer(is_taken=True, displaced=displaced)
+        return Offer(is_queued=True, displaced=displaced)
 
-    def firsts(self, *, now_s: float) -> list[Waiting]:
+    def firsts(self, *, now_s: float) -> list[QueuedRequest]:
         """Return the next request of each priority, in order of urgency.
 
         Args:
@@ -325,7 +327,9 @@
         entries = (queue.next_entry(now_s) for queue in queues if queue.waiting)
         return [entry.request for entry in entries if entry is not None]
 
-    def next(self, *, now_s: float, priority: int | None = None) -> Waiting | None:
+    def next(
+        self, *, now_s: float, priority: int | None = None
+    ) -> QueuedRequest | None:
         """Remove and return the request to start now; None if there is none.
 
         Expired requests are removed by `expire`.
@@ -349,7 +353,7 @@
                 return request
         return None
 
-    def expire(self, *, now_s: float) -> list[Waiting]:
+    def expire(self, *, now_s: float) -> list[QueuedRequest]:
         """Remove the requests whose limits are before the next call.
 
         Must be called every `EXPIRE_INTERVAL_S`.
@@ -379,7 +383,7 @@
         if id in self._entries:
             self._discard(id)
 
-    def resize(self, *, most_requests: int, most_bytes: int) -> list[Waiting]:
+    def resize(self, *, max_requests: int, max_bytes: int) -> list[QueuedRequest]:
         """Change the bounds, and remove the requests that exceed them.
 
         Args:
@@ -394,9 +398,9 @@
 
         .. versionadded:: 26.5.0
         """
-        self._set_bounds(most_requests, most_bytes)
-        rejected: list[Waiting] = []
-        while len(self) > most_requests or self._size_bytes > most_bytes:
+        self._set_bounds(max_requests, max_bytes)
+        rejected: list[QueuedRequest] = []
+        while len(self) > max_requests or self._size_bytes > max_bytes:
             last = self._last_less_urgent(-1)
             if last is None:
                 break
@@ -423,7 +427,7 @@
 
     def _can_start(
         self,
-        request: Waiting,
+        request: QueuedRequest,
         queue: _PriorityQueue,
         group: _SizeGroup,
         starts_per_s: float,
@@ -466,7 +470,7 @@
             elapsed = 0.0
         return math.exp(elapsed)
 
-    def _has_memory(self, request: Waiting) -> bool:
+    def _has_memory(self, request: QueuedRequest) -> bool:
         """Return whether a request fits without displacing another.
 
         Memory for a recent peak is kept free regardless of the request's own size:
@@ -479,7 +483,7 @@
             and self._size_bytes + needed_bytes <= self._max_bytes
         )
 
-    def _last_less_urgent(self, priority: int) -> Waiting | None:
+    def _last_less_urgent(self, priority: int) -> QueuedRequest | None:
         """Return the last of the least urgent requests that are below a priority."""
         for other in reversed(self._priorities):
             if other <= priority:
--- a/src/violethatch/return_slots.py
+++ b/src/violethatch/start_reservations.py
@@ -26,9 +26,9 @@
 
 
 #: The minimum retry delay, in seconds: some running streams finish within it.
-LEAST_S = 0.5
+MIN_RETRY_S = 0.5
 #: The maximum retry delay, in seconds: later capacity can't be predicted.
-MOST_S = 3.0
+MAX_RETRY_S = 3.0
 #: The fraction of an instance's share that is reserved: at most half, so that
 #: coinciding starts of many instances fit in the capacity.  With 0.5 and a demand of
 #: 0.88 of the capacity, the load offered in half a second reached 1.23 of the capacity.
@@ -47,18 +47,18 @@
 _SAMPLE_SIZE = 8
 _SAMPLE_WINDOW_S = 10.0
 #: How long after its due time a reservation stays valid, in seconds.
-KEPT_S = 1.5
+RESERVATION_TTL_S = 1.5
 #: The maximum number of stored reservations; the oldest are evicted.
-MOST_WORKS = 4096
+MAX_RESERVATIONS = 4096
 #: How much too early a retry may arrive, in seconds: callers round the retry time, and
 #: other instances count the delay from the receipt of the reservation.
 EARLY_TOLERANCE_S = 0.05
 #: A second reservation due within this time after the first is a late duplicate, in
 #: seconds.  A new one is due at least `LEAST_S` after the claim of the first.
-_DUPLICATE_WINDOW_S = LEAST_S - 2 * EARLY_TOLERANCE_S
+_DUPLICATE_WINDOW_S = MIN_RETRY_S - 2 * EARLY_TOLERANCE_S
 
 
-class Slot(NamedTuple):
+class RetrySlot(NamedTuple):
     """The retry time of a rejected request.
 
     Attributes:
@@ -101,7 +101,7 @@
 DUE = Claim(ClaimOutcome.DUE)
 
 
-class ReturnSlots:
+class RetrySlots:
     """The starts of one service that one instance can reserve.
 
     Args:
@@ -131,8 +131,8 @@
         )
 
     def reserve(
-        self, priority: int, *, starts_per_s: float, most_s: float, now_s: float
-    ) -> Slot:
+        self, priority: int, *, starts_per_s: float, max_delay_s: float, now_s: float
+    ) -> RetrySlot:
         """Reserve the earliest free start for a rejected request of a priority.
 
         Args:
@@ -144,17 +144,17 @@
         .. versionadded:: 26.5.0
         """
         self._update(starts_per_s, now_s=now_s)
-        latest_s = min(MOST_S, most_s)
+        latest_s = min(MAX_RETRY_S, max_delay_s)
         number = self._find_free_start(priority, latest_s=latest_s, now_s=now_s)
         self._recent_refusals.append((now_s, priority))
         self._refusal_sample.append((now_s, priority))
         self._refusals_by_priority[priority] += 1
         if number is None:
-            return Slot(now_s + max(LEAST_S, latest_s), is_reserved=False)
+            return RetrySlot(now_s + max(MIN_RETRY_S, latest_s), is_reserved=False)
         at_s = self._time_s(number, now_s=now_s)
         self._reserved_times[number] = at_s
         self._reserved_per_slot[int(at_s // SLOT_S)] += 1
-        return Slot(at_s, is_reserved=True)
+        return RetrySlot(at_s, is_reserved=True)
 
     def reserved(self, *, now_s: float) -> int:
         """Return the number of reservations that are not yet due.
@@ -201,7 +201,7 @@
         self, priority: int, *, latest_s: float, now_s: float
     ) -> int | None:
         """Return the number of the start to reserve; None if there is none."""
-        if latest_s < LEAST_S or not self._starts_per_s:
+        if latest_s < MIN_RETRY_S or not self._starts_per_s:
             return None
         max_per_slot = math.ceil(SLOT_S * self._starts_per_s)
         to_skip = sum(
@@ -209,9 +209,11 @@
             for other, count in self._refusals_by_priority.items()
             if other < priority
         )
-        urgent_s = self._urgent_fraction(priority, now_s=now_s) * (latest_s - LEAST_S)
+        urgent_s = self._urgent_fraction(priority, now_s=now_s) * (
+            latest_s - MIN_RETRY_S
+        )
         first = math.ceil(
-            self._elapsed_starts + (LEAST_S + urgent_s) * self._starts_per_s
+            self._elapsed_starts + (MIN_RETRY_S + urgent_s) * self._starts_per_s
         )
         last = math.floor(self._elapsed_starts + latest_s * self._starts_per_s)
         for number in range(first, last + 1):
@@ -244,7 +246,7 @@
     is_used: bool
 
 
-class ReservedStarts:
+class ReservationStore:
     """The reservations that one instance stores, by work id.
 
     .. versionadded:: 26.5.0
@@ -253,7 +255,7 @@
     def __init__(self) -> None:
         self._reservations: dict[str, _Reservation] = {}
 
-    def keep(self, work: str, at_s: float, *, now_s: float) -> None:
+    def add(self, work: str, at_s: float, *, now_s: float) -> None:
         """Store a reservation; a duplicate changes nothing.
 
         Args:
@@ -280,7 +282,7 @@
         .. versionadded:: 26.5.0
         """
         stored = self._reservations.get(work)
-        if stored is None or stored.is_used or now_s >= stored.at_s + KEPT_S:
+        if stored is None or stored.is_used or now_s >= stored.at_s + RESERVATION_TTL_S:
             return UNKNOWN
         if now_s < stored.at_s - EARLY_TOLERANCE_S:
             return Claim(ClaimOutcome.EARLY, stored.at_s - now_s)
@@ -296,7 +298,7 @@
         .. versionadded:: 26.5.0
         """
         return sum(
-            not stored.is_used and now_s < stored.at_s + KEPT_S
+            not stored.is_used and now_s < stored.at_s + RESERVATION_TTL_S
             for stored in self._reservations.values()
         )
 
@@ -304,7 +306,7 @@
         """Remove the oldest reservations that have expired or exceed the limit."""
         while self._reservations:
             oldest = next(iter(self._reservations))
-            has_expired = now_s >= self._reservations[oldest].at_s + KEPT_S
-            if not has_expired and len(self._reservations) <= MOST_WORKS:
+            has_expired = now_s >= self._reservations[oldest].at_s + RESERVATION_TTL_S
+            if not has_expired and len(self._reservations) <= MAX_RESERVATIONS:
                 return
             del self._reservations[oldest]
--- a/src/violethatch/stream_loads.py
+++ b/src/violethatch/stream_loads.py
@@ -80,7 +80,7 @@
         """The last reported totals of all other instances."""
         return self._others
 
-    def take_others(self, others: LoadTotals, *, now_s: float) -> None:
+    def update_others(self, others: LoadTotals, *, now_s: float) -> None:
         """Update the totals of all other instances."""
         self._others = others
         self._others_updated_s = now_s
@@ -98,7 +98,7 @@
         streams = sum(totals.streams for totals in self._others.servers.values())
         return streams / self._others.instances
 
-    def lasted(self, stream_s: float) -> None:
+    def record_duration(self, stream_s: float) -> None:
         """Update the mean duration with an own stream's, in seconds."""
         if self._mean_stream_s is None:
             self._mean_stream_s = stream_s
@@ -152,14 +152,16 @@
         """Record the load that a first runner reports for all instances."""
         self._reports[first_id] = _Report(load, now_s)
 
-    def fullness_of(self, layer_map: LayerMap, *, now_s: float) -> dict[str, float]:
+    def utilization_by_server(
+        self, layer_map: LayerMap, *, now_s: float
+    ) -> dict[str, float]:
         """Return the utilization by runner."""
         return {
-            server_id: self.fullness(server, layer_map.engine, now_s=now_s)
+            server_id: self.utilization(server, layer_map.engine, now_s=now_s)
             for server_id, server in layer_map.holders.items()
         }
 
-    def fullness(
+    def utilization(
         self, server: BackendServer, engine: EngineSpec, *, now_s: float
     ) -> float:
         """Return the estimated fraction of a runner's capacity that is in use.
@@ -172,7 +174,7 @@
             used_slots, _kv_cache_utilization(server, engine, totals.token_layers)
         )
 
-    def slots_taken(self, server: BackendServer, *, now_s: float) -> float:
+    def slot_utilization(self, server: BackendServer, *, now_s: float) -> float:
         """Return the fraction of a runner's slots in use by streams that start there.
 
         It is above 1 while streams wait at the runner for a slot or for memory: the
@@ -199,7 +201,7 @@
         """Discard the report of a runner that is no longer listed."""
         self._reports.pop(server_id, None)
 
-    def pipe_fullness(self, *, now_s: float) -> float:
+    def zone_link_utilization(self, *, now_s: float) -> float:
         """Return the fraction of time that the link between zones is in use."""
         own_ms_per_s = self._own_zone_link_ms_per_s(now_s=now_s)
         return (own_ms_per_s + self._others.pipe_ms_per_s) / _MS_PER_S
@@ -241,7 +243,7 @@
             self._own_token_layers.pop(stage.server.id, None)
 
 
-def fullness_added(
+def added_utilization(
     path: Path, engine: EngineSpec, *, streams: float
 ) -> dict[str, float]:
     """Return the utilization that typical streams add to the runners of a path.
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -20,9 +20,9 @@
     PeerDatagrams,
     ReservedDatagram,
 )
-from violethatch._return_link import ReturnLink
+from violethatch._reservation_link import ReservationLink
 from violethatch.instances import InstanceDirectory
-from violethatch.return_slots import ClaimOutcome
+from violethatch.start_reservations import ClaimOutcome
 
 
 WORK = "0" * 31 + "1"
@@ -55,7 +55,7 @@
             entry.id: self.network.join(entry, entries) for entry in entries.values()
         }
         self.links = {
-            id_: ReturnLink(datagrams, rng=rng)
+            id_: ReservationLink(datagrams, rng=rng)
             for id_, datagrams in self.datagrams.items()
         }
         self.entries = entries
@@ -73,7 +73,7 @@
     def reject(self, at, work=WORK):
         """Reject a work at an instance; return the retry delay in seconds."""
         slot = self.links[at].schedule_retry(
-            "chat", work, 0, starts_per_s=40.0, most_s=3.0
+            "chat", work, 0, starts_per_s=40.0, max_delay_s=3.0
         )
         assert slot.is_reserved
         return slot.at_s - clocks.now_s()
@@ -166,7 +166,9 @@
         async def scenario():
             zones = Zones(9)
             link = zones.links["i0"]
-            slot = link.schedule_retry("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
+            slot = link.schedule_retry(
+                "chat", WORK, 0, starts_per_s=0.0, max_delay_s=3.0
+            )
             assert not slot.is_reserved
             assert zones.network.sent == 0
 
@@ -493,11 +495,11 @@
             directory.take(entries, is_whole=True)
             sockets[own.id] = PeerDatagrams(directory)
             await sockets[own.id].start(own.address)
-            links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
+            links[own.id] = ReservationLink(sockets[own.id], rng=random.Random(own.id))
         replicas = [entry.id for entry in links["i0"]._replicas(WORK)]
         first, second = (id_ for id_ in links if id_ not in replicas)
         slot = links[first].schedule_retry(
-            "chat", WORK, 0, starts_per_s=40.0, most_s=3.0
+            "chat", WORK, 0, starts_per_s=40.0, max_delay_s=3.0
         )
         async with asyncio.timeout(5):
             while not all(links[id_].kept() for id_ in replicas):
--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -14,15 +14,15 @@
 import pytest
 
 from violethatch.membership import rendezvous
-from violethatch.return_slots import (
-    KEPT_S,
-    LEAST_S,
-    MOST_S,
-    MOST_WORKS,
+from violethatch.start_reservations import (
+    MAX_RESERVATIONS,
+    MAX_RETRY_S,
+    MIN_RETRY_S,
+    RESERVATION_TTL_S,
     SLOT_S,
     ClaimOutcome,
-    ReservedStarts,
-    ReturnSlots,
+    ReservationStore,
+    RetrySlots,
 )
 
 
@@ -82,8 +82,8 @@
 def replay(count, seed):
     """Reject callers within one second, and let them retry in their zones."""
     rng = random.Random(seed)
-    slots = [ReturnSlots(rng=rng) for _ in range(count)]
-    stores = [ReservedStarts() for _ in range(count)]
+    slots = [RetrySlots(rng=rng) for _ in range(count)]
+    stores = [ReservationStore() for _ in range(count)]
     callers = [RejectedCaller(number, rng) for number in range(REJECTED_COUNT)]
     result = Replay(callers, *(collections.Counter() for _ in range(3)))
     arrivals = collections.defaultdict(list)
@@ -98,13 +98,13 @@
         slot = slots[instance].reserve(
             caller.priority,
             starts_per_s=capacity_at(now_s) / count,
-            most_s=(caller.deadline_s - now_s) / 3,
+            max_delay_s=(caller.deadline_s - now_s) / 3,
             now_s=now_s,
         )
         if slot.is_reserved:
             result.reserved[int(slot.at_s // SLOT_S)] += 1
             for store in replicas(caller):
-                store.keep(caller.work, slot.at_s, now_s=now_s)
+                store.add(caller.work, slot.at_s, now_s=now_s)
         if caller.first_slot is None:
             caller.rejected_s, caller.first_slot = now_s, slot
             caller.rejecting_instance = instance
@@ -266,7 +266,7 @@
 
 def make_slots(seed=1):
     """Return the reservable starts of one instance."""
-    return ReturnSlots(rng=random.Random(seed))
+    return RetrySlots(rng=random.Random(seed))
 
 
 class TestReturnSlots:
@@ -307,8 +307,8 @@
         slots = make_slots()
         for _ in range(200):
             slot = slots.reserve(0, starts_per_s=40.0, most_s=most_s, now_s=100.0)
-            latest_s = max(LEAST_S, min(MOST_S, most_s))
-            assert slot.at_s - 100.0 >= LEAST_S - 1e-9
+            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, most_s))
+            assert slot.at_s - 100.0 >= MIN_RETRY_S - 1e-9
             assert slot.at_s - 100.0 <= latest_s + 1e-9
         assert not slot.is_reserved
         assert slot.at_s == pytest.approx(100.0 + latest_s)
@@ -357,8 +357,8 @@
 
 def store_with(at_s):
     """Return a store with a reservation of the work."""
-    store = ReservedStarts()
-    store.keep(WORK, at_s, now_s=100.0)
+    store = ReservationStore()
+    store.add(WORK, at_s, now_s=100.0)
     return store
 
 
@@ -379,7 +379,7 @@
 
     def test_reservation_expires(self):
         """A reservation can't be claimed after its time to live."""
-        late_s = 101.0 + KEPT_S
+        late_s = 101.0 + RESERVATION_TTL_S
         assert store_with(101.0).claim(WORK, now_s=late_s - 0.01).outcome == "due"
         assert store_with(101.0).claim(WORK, now_s=late_s).outcome == "unknown"
         assert store_with(101.0).reserved(now_s=late_s) == 0
@@ -387,24 +387,24 @@
     def test_late_duplicate(self):
         """A late duplicate renews neither a used reservation nor its due time."""
         store = store_with(101.0)
-        store.keep(WORK, 101.2, now_s=100.2)
+        store.add(WORK, 101.2, now_s=100.2)
         assert store.claim(WORK, now_s=101.0).outcome is ClaimOutcome.DUE
-        store.keep(WORK, 101.3, now_s=101.1)
+        store.add(WORK, 101.3, now_s=101.1)
         assert store.claim(WORK, now_s=101.3).outcome is ClaimOutcome.UNKNOWN
 
     def test_next_reservation_of_work(self):
         """A work that is rejected again after its start gets a new reservation."""
         store = store_with(101.0)
         store.claim(WORK, now_s=101.0)
-        store.keep(WORK, 101.0 + LEAST_S, now_s=101.0)
+        store.add(WORK, 101.0 + MIN_RETRY_S, now_s=101.0)
         assert store.claim(WORK, now_s=101.6).outcome is ClaimOutcome.DUE
 
     def test_memory_is_bounded(self):
         """More works than the limit evict only the oldest reservations."""
-        store = ReservedStarts()
-        for n in range(2 * MOST_WORKS):
-            store.keep(f"{n:032x}", 101.0, now_s=100.0)
-        assert store.reserved(now_s=100.0) == MOST_WORKS
+        store = ReservationStore()
+        for n in range(2 * MAX_RESERVATIONS):
+            store.add(f"{n:032x}", 101.0, now_s=100.0)
+        assert store.reserved(now_s=100.0) == MAX_RESERVATIONS
         assert store.claim(f"{0:032x}", now_s=101.0).outcome == "unknown"
         last = f"{2 * MOST_WORKS - 1:032x}"
         assert store.claim(last, now_s=101.0).outcome == "due"
--- a/tests/test_start_queue.py
+++ b/tests/test_start_queue.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from violethatch.start_queue import EXPIRE_INTERVAL_S, Offer, StartQueue, Waiting
+from violethatch.start_queue import EXPIRE_INTERVAL_S, Offer, QueuedRequest, StartQueue
 
 
 #: The planned capacity of fleet A (docs/design/overload.md), and the load factor.
@@ -39,14 +39,14 @@
 
 def make_request(
     name: str, priority: int = 0, read_s: float = 0.0, **kwargs
-) -> Waiting:
+) -> QueuedRequest:
     """Return a request with a target of 0.5 s."""
     times = {"read_s": read_s, "limit_s": read_s + 0.125, "target_s": read_s + 0.5}
     fields = {"tokens": 900.0, "size_bytes": 1_000, **times, **kwargs}
-    return Waiting(name, priority, **fields)
+    return QueuedRequest(name, priority, **fields)
 
 
-def make_arrivals(rng: random.Random) -> list[tuple[Waiting, float]]:
+def make_arrivals(rng: random.Random) -> list[tuple[QueuedRequest, float]]:
     """Return requests with prompt tokens of a heavy-tailed distribution."""
     requests = []
     now_s = rng.expovariate(LOAD_FACTOR * STARTS_PER_S)
@@ -56,7 +56,7 @@
         # The means of the bounded draws are 760 and 170 tokens.
         prompt = min(2_280.0, rng.lognormvariate(6.38, 0.8))
         tokens = prompt + min(600.0, rng.expovariate(1 / 177))
-        request = Waiting(
+        request = QueuedRequest(
             str(len(requests)),
             priority,
             tokens,
@@ -73,7 +73,7 @@
 class ReplayResult(NamedTuple):
     """The results of a replay; `outcomes` are kinds and times by request."""
 
-    offered: list[tuple[Waiting, float]]
+    offered: list[tuple[QueuedRequest, float]]
     outcomes: dict[str, list[tuple[str, float]]]
     peak_requests: int
     peak_bytes: int
@@ -97,7 +97,7 @@
         )
 
 
-def starts_in_time(queue: StartQueue, request: Waiting, now_s: float) -> bool:
+def starts_in_time(queue: StartQueue, request: QueuedRequest, now_s: float) -> bool:
     """Return whether a request starts by its limit without further arrivals."""
     queue = pickle.loads(pickle.dumps(queue))
     while True:
@@ -121,12 +121,12 @@
     events += [(phase_s + EXPIRE_INTERVAL_S * tick, 2, None) for tick in ticks]
     events.sort(key=lambda event: event[:2])
 
-    queue = StartQueue(most_requests=max_requests, most_bytes=max_bytes)
-    waiting: dict[str, Waiting] = {}
+    queue = StartQueue(max_requests=max_requests, max_bytes=max_bytes)
+    waiting: dict[str, QueuedRequest] = {}
     outcomes = collections.defaultdict(list)
     free_starts = peak_requests = peak_bytes = overtaken = late = 0
 
-    def finish(request: Waiting, outcome: str) -> None:
+    def finish(request: QueuedRequest, outcome: str) -> None:
         waiting.pop(request.id, None)
         outcomes[request.id].append((outcome, now_s))
 
@@ -135,7 +135,7 @@
             offer = queue.offer(request, starts_per_s=STARTS_PER_S, now_s=now_s)
             if offer.displaced is not None:
                 finish(offer.displaced, "displaced")
-            if not offer.is_taken:
+            if not offer.is_queued:
                 finish(request, "refused")
             else:
                 waiting[request.id] = request
@@ -207,10 +207,10 @@
 class TestOffer:
     def test_displaces_last_of_least_urgent(self):
         """Guards against rejecting urgent requests while others are queued."""
-        queue = StartQueue(most_requests=3, most_bytes=10_000)
+        queue = StartQueue(max_requests=3, max_bytes=10_000)
         for name, priority, read_s in (("a", 5, 0), ("b", 5, 0.01), ("c", 3, 0.02)):
             request = make_request(name, priority, read_s)
-            assert queue.offer(request, starts_per_s=300.0, now_s=0.02).is_taken
+            assert queue.offer(request, starts_per_s=300.0, now_s=0.02).is_queued
         request = make_request("d", 1, 0.02)
         offer = queue.offer(request, starts_per_s=300.0, now_s=0.02)
         assert offer == Offer(True, make_request("b", 5, 0.01))
@@ -220,10 +220,10 @@
 
     def test_no_useless_displacement(self):
         """Guards against displacing a request that frees too little memory."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
         for name in "ab":
             request = make_request(name, 5, size_bytes=2_000)
-            assert queue.offer(request, starts_per_s=300.0, now_s=0.0).is_taken
+            assert queue.offer(request, starts_per_s=300.0, now_s=0.0).is_queued
         huge = make_request("c", 0, size_bytes=9_000)
         refused = queue.offer(huge, starts_per_s=300.0, now_s=0.0)
         assert refused == Offer(False, None)
@@ -232,23 +232,23 @@
     @pytest.mark.parametrize("starts_per_s", [0.0, -1.0, float("nan")])
     def test_no_starts(self, starts_per_s: float):
         """Guards against queueing requests without available runners."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
         offer = queue.offer(make_request("a"), starts_per_s=starts_per_s, now_s=0.0)
         assert offer == Offer(False, None)
 
     def test_duplicate_id(self):
         """Guards against losing the first of two requests with the same id."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
-        assert queue.offer(make_request("a"), starts_per_s=300.0, now_s=0.0).is_taken
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
+        assert queue.offer(make_request("a"), starts_per_s=300.0, now_s=0.0).is_queued
         assert not queue.offer(
             make_request("a"), starts_per_s=300.0, now_s=0.0
-        ).is_taken
+        ).is_queued
         assert len(queue) == 1
 
     @pytest.mark.parametrize("elapsed_s", [0.0, 5.0, 16.0, 1_000.0])
     def test_available_rate(self, elapsed_s: float):
         """Guards against ignoring recent urgent starts, and counting old ones."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         now_s = 0.0
         for number in range(600):
             now_s = number / 300.0
@@ -260,11 +260,11 @@
             queue.offer(make_request(name, 1, now_s), starts_per_s=300.0, now_s=now_s)
             for name in "ab"
         ]
-        assert [offer.is_taken for offer in offers] == [True, elapsed_s > 0.0]
+        assert [offer.is_queued for offer in offers] == [True, elapsed_s > 0.0]
 
     def test_rates_decay_at_reset(self):
         """Guards against keeping old rates when a start resets their scale."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         for number in range(600):
             now_s = 12.99 + number / 300.0
             queue.offer(
@@ -276,23 +276,23 @@
         assert queue.next(now_s=15.02) is not None
         for name in "ab":
             request = make_request(name, 1, 17.02)
-            assert queue.offer(request, starts_per_s=300.0, now_s=17.02).is_taken
+            assert queue.offer(request, starts_per_s=300.0, now_s=17.02).is_queued
 
     @pytest.mark.parametrize("tokens", [[900.0] * 200, [100.0, 2_000.0] * 100])
     def test_equal_sizes(self, tokens: list[float]):
         """Guards against a wrong order if no largest tenth can be distinguished."""
-        queue = StartQueue(most_requests=99, most_bytes=100_000)
+        queue = StartQueue(max_requests=99, max_bytes=100_000)
         for number, count in enumerate(tokens):
             now_s = 0.01 * number
             offered = make_request(str(number), 0, now_s, tokens=count)
-            assert queue.offer(offered, starts_per_s=300.0, now_s=now_s).is_taken
+            assert queue.offer(offered, starts_per_s=300.0, now_s=now_s).is_queued
             if number:
                 assert queue.next(now_s=now_s).id == str(number - 1)
 
     @pytest.mark.parametrize("priority", [-1, 100])
     def test_priority_out_of_range(self, priority: int):
         """Guards against unbounded state per priority."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
         with pytest.raises(ValueError, match="priority"):
             queue.offer(make_request("a", priority), starts_per_s=300.0, now_s=0.0)
 
@@ -300,10 +300,10 @@
 class TestOperations:
     def test_process_pause(self):
         """Guards against starting or keeping expired requests after a pause of 10 s."""
-        queue = StartQueue(most_requests=30, most_bytes=100_000)
+        queue = StartQueue(max_requests=30, max_bytes=100_000)
         for number in range(30):
             request = make_request(str(number), number % 3)
-            assert queue.offer(request, starts_per_s=300.0, now_s=0.0).is_taken
+            assert queue.offer(request, starts_per_s=300.0, now_s=0.0).is_queued
         assert queue.next(now_s=10.0) is None
         expired = queue.expire(now_s=10.0)
         assert sorted(int(request.id) for request in expired) == list(range(30))
@@ -311,25 +311,25 @@
 
     def test_limit_order(self):
         """Guards against starting in the order of arrival within a priority."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         for name, read_s in (("a", 0.02), ("b", 0.0), ("c", 0.01)):
             queue.offer(make_request(name, 0, read_s), starts_per_s=300.0, now_s=0.02)
         assert [queue.next(now_s=0.03).id for _ in range(3)] == ["b", "c", "a"]
 
     def test_resize(self):
         """Guards against keeping excess requests, or rejecting urgent ones."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         for name, priority in (("a", 2), ("b", 0), ("c", 2), ("d", 1)):
             queue.offer(make_request(name, priority), starts_per_s=300.0, now_s=0.0)
-        refused = queue.resize(most_requests=3, most_bytes=2_000)
+        refused = queue.resize(max_requests=3, max_bytes=2_000)
         assert [request.id for request in refused] == ["c", "a"]
         assert (len(queue), queue.size_bytes) == (2, 2_000)
         with pytest.raises(ValueError, match="at least 1"):
-            queue.resize(most_requests=0, most_bytes=1)
+            queue.resize(max_requests=0, max_bytes=1)
 
     def test_oldest_wait(self):
         """Guards against counting a request that was removed from the queue."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         assert queue.oldest_wait_s(1.0) == 0.0
         for name, read_s in (("a", 0.0), ("b", 0.02)):
             queue.offer(make_request(name, 0, read_s), starts_per_s=300.0, now_s=0.02)
@@ -346,7 +346,7 @@
 
 def calls_per_decision(waiting: int) -> float:
     """Return the mean number of calls in next, offer and expire together."""
-    queue = StartQueue(most_requests=waiting, most_bytes=10**9)
+    queue = StartQueue(max_requests=waiting, max_bytes=10**9)
     rng = random.Random(1)
     count = 0
 
@@ -373,14 +373,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.queue = StartQueue(most_requests=6, most_bytes=6_000)
+        self.queue = StartQueue(max_requests=6, max_bytes=6_000)
         self.bounds = (6, 6_000)
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, QueuedRequest] = {}
         self.finished: dict[str, str] = {}
         self.offers = 0
         self.now_s = 0.0
 
-    def finish(self, request: Waiting, outcome: str) -> None:
+    def finish(self, request: QueuedRequest, outcome: str) -> None:
         assert self.waiting.pop(request.id) == request
         assert request.id not in self.finished
         self.finished[request.id] = outcome
@@ -400,7 +400,7 @@
         self.offers += 1
         self.waiting[request.id] = request
         offer = self.queue.offer(request, starts_per_s=starts_per_s, now_s=self.now_s)
-        if not offer.is_taken:
+        if not offer.is_queued:
             self.finish(request, "refused")
             assert offer.displaced is None
         if offer.displaced is not None:
@@ -436,7 +436,7 @@
     @rule(max_requests=st.integers(1, 6), max_bytes=st.integers(1, 6_000))
     def resize(self, max_requests, max_bytes):
         self.bounds = (max_requests, max_bytes)
-        rejected = self.queue.resize(most_requests=max_requests, most_bytes=max_bytes)
+        rejected = self.queue.resize(max_requests=max_requests, max_bytes=max_bytes)
         priorities = [request.priority for request in rejected]
         assert priorities == sorted(priorities, reverse=True)
         for request in rejected:
