--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -461,8 +461,8 @@
 
     show(f"a counter, 12 keys of {_WORKSPACES} workspaces", grown_kb(counted), "KB")
     show("a sum of 12 keys and 32 workspaces", grown_kb(lambda: full_demand(1)), "KB")
-    show(f"{MOST_WORKS} kept reservations", grown_kb(reserved), "KB")
-    show(f"remainders of {MOST_WORKS} workspaces", grown_kb(admitter), "KB")
+    show(f"{MAX_RESERVATIONS} kept reservations", grown_kb(reserved), "KB")
+    show(f"remainders of {MAX_RESERVATIONS} workspaces", grown_kb(admitter), "KB")
     show(f"a queue of {_QUEUED}, without requests", grown_kb(queued), "KB")
     tracemalloc.stop()
 
--- a/src/violethatch/_reservation_link.py
+++ b/src/violethatch/_reservation_link.py
@@ -109,7 +109,7 @@
             work: The work's id.
             priority: The request's priority; lower numbers are more urgent.
             starts_per_s: The starts per second of the capacity, per instance.
-            most_s: The maximum retry delay, in seconds.
+            max_delay_s: The maximum retry delay, in seconds.
         """
         slots = self._slots.get(service)
         if slots is None:
--- a/src/violethatch/start_queue.py
+++ b/src/violethatch/start_queue.py
@@ -77,7 +77,7 @@
     """The result of offering a request to the queue.
 
     Attributes:
-        is_taken: Whether it is queued; otherwise it must be rejected now.
+        is_queued: Whether it is queued; otherwise it must be rejected now.
         displaced: A request to reject now in favour of a more urgent one.
 
     .. versionadded:: 26.5.0
@@ -228,8 +228,8 @@
     then moves up to 8 bytes for each queued request.
 
     Args:
-        most_requests: The maximum number of queued requests.
-        most_bytes: The maximum memory that they occupy, in bytes.
+        max_requests: The maximum number of queued requests.
+        max_bytes: The maximum memory that they occupy, in bytes.
 
     Raises:
         ValueError: A bound is below 1.
@@ -387,8 +387,8 @@
         """Change the bounds, and remove the requests that exceed them.
 
         Args:
-            most_requests: The maximum number of queued requests.
-            most_bytes: The maximum memory that they occupy, in bytes.
+            max_requests: The maximum number of queued requests.
+            max_bytes: The maximum memory that they occupy, in bytes.
 
         Returns:
             The requests to reject now, in reverse order of urgency.
@@ -408,12 +408,12 @@
             rejected.append(last)
         return rejected
 
-    def _set_bounds(self, most_requests: int, most_bytes: int) -> None:
+    def _set_bounds(self, max_requests: int, max_bytes: int) -> None:
         """Check and set the bounds."""
-        if most_requests < 1 or most_bytes < 1:
+        if max_requests < 1 or max_bytes < 1:
             raise ValueError("a queue's bounds are at least 1")
-        self._max_requests = most_requests
-        self._max_bytes = most_bytes
+        self._max_requests = max_requests
+        self._max_bytes = max_bytes
 
     def _queue_for(self, priority: int) -> _PriorityQueue:
         """Return the queue of a priority, created on first use."""
--- a/src/violethatch/start_reservations.py
+++ b/src/violethatch/start_reservations.py
@@ -54,7 +54,7 @@
 #: other instances count the delay from the receipt of the reservation.
 EARLY_TOLERANCE_S = 0.05
 #: A second reservation due within this time after the first is a late duplicate, in
-#: seconds.  A new one is due at least `LEAST_S` after the claim of the first.
+#: seconds.  A new one is due at least `MIN_RETRY_S` after the claim of the first.
 _DUPLICATE_WINDOW_S = MIN_RETRY_S - 2 * EARLY_TOLERANCE_S
 
 
@@ -138,7 +138,7 @@
         Args:
             priority: The request's priority; lower numbers are more urgent.
             starts_per_s: The starts per second of the capacity, per instance.
-            most_s: The maximum retry delay, in seconds, capped at `MOST_S`.
+            max_delay_s: The maximum retry delay, in seconds, capped at `MAX_RETRY_S`.
             now_s: The current monotonic time, in seconds.
 
         .. versionadded:: 26.5.0
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -13,7 +13,7 @@
 
 from mortal_fleet import Network, instance_entries
 from own_ports import free_ports
-from violethatch import _return_link, clocks
+from violethatch import _reservation_link, clocks
 from violethatch._peer_datagrams import (
     ClaimDatagram,
     ClaimedDatagram,
@@ -339,7 +339,7 @@
             )
             zones.disconnect(*zones.replicas(work))
             link = zones.links[zones.zone[0]]
-            limit = _return_link._MAX_PENDING_CLAIMS
+            limit = _reservation_link._MAX_PENDING_CLAIMS
             claims = [asyncio.ensure_future(link.claim(work)) for _ in range(2 * limit)]
             await asyncio.sleep(0.01)
             assert len(link._pending) == limit
@@ -355,12 +355,12 @@
         async def scenario():
             zones = Zones(24)
             sender, receiver = zones.zone[:2]
-            for number in range(3 * _return_link._MAX_CACHED_RESULTS):
+            for number in range(3 * _reservation_link._MAX_CACHED_RESULTS):
                 token = zones.entries[receiver].token
                 zones.send(sender, receiver, ClaimDatagram(token, sender, number, WORK))
             await asyncio.sleep(0.1)
             link = zones.links[receiver]
-            assert len(link._results) == _return_link._MAX_CACHED_RESULTS
+            assert len(link._results) == _reservation_link._MAX_CACHED_RESULTS
 
         run(scenario)
 
@@ -482,7 +482,7 @@
 
         The timeout is tested in virtual time; here it is longer, for busy machines.
         """
-        monkeypatch.setattr(_return_link, "_RESPONSE_TIMEOUT_S", 1.0)
+        monkeypatch.setattr(_reservation_link, "_RESPONSE_TIMEOUT_S", 1.0)
         entries = {
             f"i{n}": entry._replace(address=f"127.0.0.1:{port}")
             for (n, port), entry in zip(
--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -275,10 +275,10 @@
         """A more urgent request that is rejected later still gets an earlier start."""
         slots = make_slots(seed)
         less_urgent = [
-            slots.reserve(priority, starts_per_s=20.0, most_s=3.0, now_s=100.0)
+            slots.reserve(priority, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
             for priority in (2, 1, 2)
         ]
-        urgent = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.1)
+        urgent = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.1)
         assert urgent.is_reserved
         assert all(urgent.at_s < slot.at_s for slot in less_urgent)
 
@@ -286,9 +286,9 @@
         """Less urgent requests don't get the last starts in between."""
         slots = make_slots()
         for _ in range(10):
-            slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.0)
-        less_urgent = slots.reserve(2, starts_per_s=20.0, most_s=3.0, now_s=100.1)
-        urgent = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.2)
+            slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
+        less_urgent = slots.reserve(2, starts_per_s=20.0, max_delay_s=3.0, now_s=100.1)
+        urgent = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.2)
         assert urgent.is_reserved
         assert urgent.at_s < less_urgent.at_s
 
@@ -296,18 +296,22 @@
         """No starts are left free without rejections of more urgent requests."""
         slots = make_slots()
         reserved = [
-            slots.reserve(12, starts_per_s=40.0, most_s=3.0, now_s=100.0 + n / 10)
+            slots.reserve(12, starts_per_s=40.0, max_delay_s=3.0, now_s=100.0 + n / 10)
             for n in range(20)
         ]
         assert reserved[-1].at_s - 101.9 < 1.0
 
-    @pytest.mark.parametrize("most_s", [0.0, 0.4, -1.0, 0.5, 1.0, 3.0, 60.0, math.inf])
-    def test_delay_bounds(self, most_s):
+    @pytest.mark.parametrize(
+        "max_delay_s", [0.0, 0.4, -1.0, 0.5, 1.0, 3.0, 60.0, math.inf]
+    )
+    def test_delay_bounds(self, max_delay_s):
         """The retry delay is within the minimum and the caller's maximum."""
         slots = make_slots()
         for _ in range(200):
-            slot = slots.reserve(0, starts_per_s=40.0, most_s=most_s, now_s=100.0)
-            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, most_s))
+            slot = slots.reserve(
+                0, starts_per_s=40.0, max_delay_s=max_delay_s, now_s=100.0
+            )
+            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, max_delay_s))
             assert slot.at_s - 100.0 >= MIN_RETRY_S - 1e-9
             assert slot.at_s - 100.0 <= latest_s + 1e-9
         assert not slot.is_reserved
@@ -317,8 +321,8 @@
     def test_no_capacity(self, starts_per_s):
         """Nothing is reserved of a capacity that is zero or unknown."""
         slots = make_slots()
-        slots.reserve(0, starts_per_s=9.0, most_s=3.0, now_s=99.0)
-        slot = slots.reserve(0, starts_per_s=starts_per_s, most_s=2.0, now_s=100.0)
+        slots.reserve(0, starts_per_s=9.0, max_delay_s=3.0, now_s=99.0)
+        slot = slots.reserve(0, starts_per_s=starts_per_s, max_delay_s=2.0, now_s=100.0)
         assert slot == (102.0, False)
 
     @pytest.mark.parametrize("seed", range(20))
@@ -331,7 +335,7 @@
             slot = slots.reserve(
                 rng.randrange(3),
                 starts_per_s=rng.choice((0.0, 4.0, 8.0, 12.0)),
-                most_s=3.0,
+                max_delay_s=3.0,
                 now_s=100.0 + n / 100,
             )
             if slot.is_reserved:
@@ -344,10 +348,10 @@
         """Reservations are counted until they are due, and then discarded."""
         slots = make_slots()
         for _ in range(50):
-            slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=100.0)
+            slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=100.0)
         assert 5 <= slots.reserved(now_s=100.0) <= 25
         assert slots.reserved(now_s=104.0) == 0
-        slot = slots.reserve(0, starts_per_s=20.0, most_s=3.0, now_s=1e7)
+        slot = slots.reserve(0, starts_per_s=20.0, max_delay_s=3.0, now_s=1e7)
         assert slot.is_reserved
         assert slots.reserved(now_s=1e7) == 1
 
@@ -406,5 +410,5 @@
             store.add(f"{n:032x}", 101.0, now_s=100.0)
         assert store.reserved(now_s=100.0) == MAX_RESERVATIONS
         assert store.claim(f"{0:032x}", now_s=101.0).outcome == "unknown"
-        last = f"{2 * MOST_WORKS - 1:032x}"
+        last = f"{2 * MAX_RESERVATIONS - 1:032x}"
         assert store.claim(last, now_s=101.0).outcome == "due"
