--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -46,7 +46,7 @@
     Args:
         table: Where to write.
         interval_s: The least time between transactions, in seconds.
-        give_up_s: How long to try a write whose answers are lost, in seconds.
+        retry_timeout_s: How long to try a write whose answers are lost, in seconds.
     """
 
     def __init__(
@@ -166,7 +166,7 @@
 
     Args:
         local: Writes from this instance.
-        chosen: Returns the id of the zone's writer.
+        writer_id: Returns the id of the zone's writer.
         own_id: This instance.
         forward: Sends writes to a peer; None if it does not answer.
     """
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -51,7 +51,7 @@
         writer: Writes claims and outcomes.
         objects: Keeps large answers.
         outcome_wait_s: How long to wait for another claimant, in seconds.
-        is_gone: Tells whether the instance that owns a claim is known gone.
+        is_instance_gone: Tells whether the instance that owns a claim is known gone.
         spawn: Starts a background task.
     """
 
