--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -269,7 +269,7 @@
     return RetrySlots(rng=random.Random(seed))
 
 
-class TestReturnSlots:
+class TestRetrySlots:
     @pytest.mark.parametrize("seed", range(20))
     def test_urgent_request_after_others(self, seed):
         """A more urgent request that is rejected later still gets an earlier start."""
@@ -366,7 +366,7 @@
     return store
 
 
-class TestReservedStarts:
+class TestReservationStore:
     def test_early_then_due_once(self):
         """An early claim keeps the reservation; a due claim consumes it."""
         store = store_with(101.0)
