--- a/src/violethatch/_admission.py
+++ b/src/violethatch/_admission.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Admits streams by priority and workspace, queues them, and refuses the rest.
+"""Admission control: admit, queue or reject streams by priority and workspace.
 
-Load pattern: for seconds, runners can take less than is asked for, after a group of
-them was lost or while the most urgent callers surge.  Without this, streams of all
-priorities fill the runners in the order of their coming, and all become late.
+Load pattern: for seconds, the demand exceeds the capacity of the runners, after a group
+of runners has failed or while the most urgent callers surge.  Without admission
+control, streams of every priority would fill the runners in order of arrival and miss
+their targets.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
     AdmissionObserver,
     AdmissionState,
     Capacity,
+    NullAdmissionObserver,
     PeerDemand,
-    Returns,
+    RetryScheduler,
     StartRequest,
-    Unobserved,
 )
-from ._governed_service import GovernedService
+from ._service_admission import ServiceAdmission
 from .demand import NO_DEMAND, RUNNING, Demand, DemandCounter, DemandKey, total_demand
 from .desired import CallRoute, DesiredState
 from .load_sums import server_number
@@ -38,13 +39,13 @@
     "AdmissionState",
     "Capacity",
     "PeerDemand",
-    "Returns",
+    "RetryScheduler",
     "StartRequest",
 ]
 
 
-#: How often plans are made anew, in seconds; the sums that they use come as often.
-TICK_S = 0.25
+#: The interval between plans, in seconds; it equals that of the sums that they use.
+PLAN_INTERVAL_S = 0.25
 
 
 class Admission:
@@ -52,11 +53,12 @@
 
     Args:
         section: The settings.
-        capacity: Knows the runners.
-        peers: Knows what other instances are asked for.
-        returns: Reserves starts.
-        phase: Where the instance begins to spread what it admits, 0 to 1: hundreds that
-            begin alike would admit their first requests together.
+        capacity: Provides the capacity and load of the runners.
+        peers: Provides the demand at other instances.
+        returns: Reserves starts for retries.
+        phase: The initial value of the admitter's remainders, 0 to 1.  It differs
+            between instances, as hundreds with the same phase would admit their first
+            requests simultaneously.
     """
 
     def __init__(
@@ -65,7 +67,7 @@
         *,
         capacity: Capacity,
         peers: PeerDemand,
-        returns: Returns,
+        returns: RetryScheduler,
         phase: float,
     ) -> None:
         self.section = section
@@ -73,80 +75,80 @@
         self.peers = peers
         self.returns = returns
         self.phase = phase
-        self.observer: AdmissionObserver = Unobserved()
+        self.observer: AdmissionObserver = NullAdmissionObserver()
         self.counter = DemandCounter()
         self._desired: DesiredState | None = None
-        self._services: dict[str, GovernedService] = {}
+        self._services: dict[str, ServiceAdmission] = {}
 
     def apply_settings(self, section: AdmissionSection) -> None:
-        """Take changed settings in."""
+        """Apply changed settings."""
         self.section = section
         for service in self._services.values():
-            service.take_section(section)
-        self._govern()
+            service.apply_settings(section)
+        self._update_services()
 
     def apply_desired_state(self, desired: DesiredState) -> None:
-        """Take a desired state in: it says which services are governed."""
+        """Apply a desired state, which determines the governed services."""
         self._desired = desired
-        self._govern()
+        self._update_services()
 
-    def _govern(self) -> None:
-        """Begin and end governing services."""
+    def _update_services(self) -> None:
+        """Add and remove governed services."""
         if self._desired is None:
             return
         governed = {
             name: routes
             for name, routes in self._desired.stream_routes().items()
-            if self._is_governed(routes)
+            if self._routes_are_governed(routes)
         }
         for name, routes in governed.items():
             spec = self._desired.services[name]
-            known = self._services.get(name)
-            if known is None:
-                known = self._services[name] = GovernedService(self, spec)
-            known.take_routes(spec, routes)
+            service = self._services.get(name)
+            if service is None:
+                service = self._services[name] = ServiceAdmission(self, spec)
+            service.set_routes(spec, routes)
         for name in self._services.keys() - governed.keys():
-            self._services.pop(name).release()
+            self._services.pop(name).release_waiting()
 
-    def _is_governed(self, routes: Iterable[CallRoute]) -> bool:
-        """Tell whether a service's streams are admitted by priority."""
+    def _routes_are_governed(self, routes: Iterable[CallRoute]) -> bool:
+        """Return whether a service with these routes is governed."""
         return self.section.governs(route.priority for route in routes)
 
     async def run(self) -> None:
-        """Make plans anew, until cancelled."""
+        """Update the plans periodically, until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(PLAN_INTERVAL_S)
             self.refresh()
 
     def refresh(self) -> None:
-        """Make each governed service's plan anew."""
+        """Update the plan of each governed service."""
         for service in self._services.values():
             service.refresh(now_s=clocks.now_s())
 
     def demand(self) -> Demand:
-        """Return what this instance is asked for."""
+        """Return the demand at this instance."""
         if not self._services:
             return NO_DEMAND
         running = {
-            DemandKey(one.number, RUNNING): float(one.own_running)
-            for one in self._services.values()
-            if one.own_running
+            DemandKey(service.number, RUNNING): float(service.own_running)
+            for service in self._services.values()
+            if service.own_running
         }
         counted = self.counter.demand(now_s=clocks.now_s())
         return total_demand([counted, Demand(running, {})])
 
     def is_governed(self, service: str) -> bool:
-        """Tell whether a service's streams are admitted by priority."""
+        """Return whether admission control applies to a service."""
         return service in self._services
 
     async def admit(self, service: str, request: StartRequest) -> bool:
-        """Admit a stream, or refuse it at once.
+        """Admit a stream, or reject it immediately.
 
         Returns:
-            Whether it uses a reserved start, which goes ahead of those that wait.
+            Whether it uses a reserved start, which precedes waiting streams.
 
         Raises:
-            NotAdmittedError: It is refused; nothing has run.
+            NotAdmittedError: The stream is rejected; nothing has run.
         """
         governed = self._services.get(service)
         return governed is not None and await governed.admit(request)
@@ -160,14 +162,15 @@
         is_blocked: Callable[[float], bool],
         is_reserved: bool = False,
     ) -> Path | None:
-        """Return a path for a stream's first send, waiting briefly for one with room.
+        """Return a path for a stream's first send, after a short wait if necessary.
 
         Args:
             service: The service's name.
             request: The stream.
             find: Searches for a path.
-            is_blocked: Tells whether there will be none for so many seconds.
-            is_reserved: Whether it uses a reserved start.
+            is_blocked: Returns whether no path will be available within a number of
+                seconds.
+            is_reserved: Whether the stream uses a reserved start.
         """
         governed = self._services.get(service)
         if governed is None:
@@ -179,46 +182,48 @@
     def retry_after_s(
         self, service: str, request: StartRequest, *, blocked_s: float
     ) -> float | None:
-        """Return when a caller that found no path should come back, in seconds.
+        """Return the retry delay of a caller without a path, in seconds.
 
-        None where its service is not governed, or where what blocks it lasts longer
-        than starts are reserved ahead.
+        None if its service is not governed, or if it is blocked for longer than starts
+        can be reserved in advance.
         """
         governed = self._services.get(service)
         if governed is None or blocked_s >= MAX_RETRY_S:
             return None
-        slot_s = governed.slot_s(request, reason="no_path")
-        return max(slot_s, blocked_s)
+        retry_s = governed.retry_delay_s(request, reason="no_path")
+        return max(retry_s, blocked_s)
 
     def stream_started(self, service: str) -> None:
-        """Count an admitted stream in, until it is over."""
+        """Add an admitted stream to the running streams."""
         governed = self._services.get(service)
         if governed is not None:
             governed.own_running += 1
 
     def stream_finished(self, service: str) -> None:
-        """Count an admitted stream out, however it has ended."""
+        """Remove an admitted stream from the running streams, whatever its outcome."""
         governed = self._services.get(service)
         if governed is not None:
             governed.own_running = max(0, governed.own_running - 1)
 
     def record_outcome(self, service: str, *, is_in_target: bool) -> None:
-        """Note whether a stream of this instance came within its targets."""
+        """Record whether a stream of this instance met its targets."""
         governed = self._services.get(service)
         if governed is not None:
-            governed.ended(is_in_target=is_in_target, now_s=clocks.now_s())
+            governed.record_outcome(is_in_target=is_in_target, now_s=clocks.now_s())
 
     def states(self) -> dict[str, AdmissionState]:
-        """Return each governed service's state, for metrics."""
-        return {name: one.state() for name, one in self._services.items()}
+        """Return the state of each governed service, for metrics."""
+        return {name: service.state() for name, service in self._services.items()}
 
     def dump(self) -> dict[str, Any]:
-        """Return each governed service's state, for a person or a tool."""
-        return {name: one.dump() for name, one in self._services.items()}
+        """Return the state of each governed service, for the state dump."""
+        return {name: service.dump() for name, service in self._services.items()}
 
     def workspace_names(self) -> dict[int, str]:
-        """Return the declared workspaces by the number that stands for them."""
+        """Return the names of the declared workspaces by `server_number`."""
         if self._desired is None:
             return {}
-        names = {one.name for one in self._desired.workspaces_by_key.values()}
+        names = {
+            workspace.name for workspace in self._desired.workspaces_by_key.values()
+        }
         return {server_number(name): name for name in names}
--- a/src/violethatch/_admission_ports.py
+++ b/src/violethatch/_admission_ports.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What admission learns of other instances, and how it spreads refused callers."""
+"""The demand at other instances and jittered retries, for the admission control."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class AggregatedPeerDemand:
-    """What other instances are asked for, as their sums of loads tell it.
+    """The demand at other instances, from their aggregated load reports.
 
     Args:
-        loads: Has the sums.
-        instances: Tells how many instances are known to serve; 0 where none is.
+        loads: Provides the sums.
+        instances: Returns the number of known active instances, possibly 0.
     """
 
     def __init__(self, loads: StreamLoads, *, instances: Callable[[], int]) -> None:
@@ -27,27 +27,27 @@
         self._instances = instances
 
     def demand(self) -> Demand:
-        """Return the sum over all other instances that are heard."""
+        """Return the sum over the other instances that report."""
         return self._loads.others.demand
 
     def age_s(self) -> float | None:
-        """Return the age of that sum in seconds, or None without any."""
+        """Return the age of the sum in seconds, or None without a sum."""
         return self._loads.others_age_s(now_s=clocks.now_s())
 
     def has_peers(self) -> bool:
-        """Tell whether other instances are known to serve."""
+        """Return whether other active instances are known."""
         return self._instances() > 1
 
     def instance_count(self) -> int:
-        """Return how many other instances are in the sum."""
+        """Return the number of other instances in the sum."""
         return self._loads.others.instances
 
 
 class JitteredRetryScheduler:
-    """Spreads refused callers over time, with nothing reserved.
+    """Adds jitter to the retries of rejected callers, without reservations.
 
     Args:
-        rng: Draws.
+        rng: The source of the jitter.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -62,18 +62,18 @@
         starts_per_s: float,
         max_delay_s: float,
     ) -> RetrySlot:
-        """Return when a caller should come back."""
-        back_s = retry_delay_s(max_delay_s if not starts_per_s else 0.0, rng=self._rng)
-        return RetrySlot(clocks.now_s() + back_s, is_reserved=False)
+        """Return the time of a caller's retry."""
+        delay_s = retry_delay_s(max_delay_s if not starts_per_s else 0.0, rng=self._rng)
+        return RetrySlot(clocks.now_s() + delay_s, is_reserved=False)
 
     async def claim(self, _work: str) -> Claim:
-        """Return that nothing is reserved."""
+        """Return an unknown claim, as nothing is reserved."""
         return Claim(ClaimOutcome.UNKNOWN, 0.0)
 
     def reserved(self, _service: str) -> int:
-        """Return that nothing is reserved."""
+        """Return 0, as nothing is reserved."""
         return 0
 
     def kept(self) -> int:
-        """Return that nothing is kept."""
+        """Return 0, as no reservation is stored."""
         return 0
--- a/src/violethatch/_admission_types.py
+++ b/src/violethatch/_admission_types.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What admission needs of the instance that it serves."""
+"""Types and interfaces of the admission control."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class StartRequest(NamedTuple):
-    """A stream that asks to be started.
+    """A request to start a stream.
 
     Attributes:
-        priority: The call's urgency, 0 to 99; 0 is the most urgent.
-        workspace: Whose it is, or None where callers are not told apart.
-        tokens: Its prompt and its expected answer.
-        target_s: How long its first event may take, in seconds.
+        priority: The call's priority, 0 to 99; 0 is the most urgent.
+        workspace: The caller's workspace, or None if callers are not distinguished.
+        tokens: The number of tokens of the prompt and the expected response.
+        target_s: The maximum time to the first event, in seconds.
     """
 
     call: Call
@@ -32,42 +32,42 @@
     target_s: float
 
     @property
-    def work(self) -> str:
-        """The id that stays the same when the caller comes back."""
+    def work_id(self) -> str:
+        """The id that stays the same when the caller retries."""
         return self.call.work_id(self.workspace)
 
 
 class Capacity(Protocol):
-    """What is known of a service's runners."""
+    """Provides the capacity and load of a service's runners."""
 
     def room(self, service: ServiceSpec, targets: Targets) -> Room:
-        """Return what the usable runners can take."""
+        """Return the capacity of the usable runners."""
 
     def running(self, service: ServiceSpec) -> int:
-        """Return the streams of all instances at the usable runners."""
+        """Return the number of streams at the usable runners, over the instances."""
 
     def first_server_utilization(self, service: ServiceSpec, path: Path) -> float:
-        """Return the part of a path's first runner that is taken."""
+        """Return the utilization of a path's first runner."""
 
 
 class PeerDemand(Protocol):
-    """What other instances are asked for."""
+    """Provides the demand at other instances."""
 
     def demand(self) -> Demand:
-        """Return the sum over all other instances that are heard."""
+        """Return the sum over the other instances that report."""
 
     def age_s(self) -> float | None:
-        """Return the age of that sum in seconds, or None without any."""
+        """Return the age of the sum in seconds, or None without a sum."""
 
     def has_peers(self) -> bool:
-        """Tell whether other instances are known to serve."""
+        """Return whether other active instances are known."""
 
     def instance_count(self) -> int:
-        """Return how many other instances are in the sum."""
+        """Return the number of other instances in the sum."""
 
 
-class Returns(Protocol):
-    """Reserves starts for refused callers."""
+class RetryScheduler(Protocol):
+    """Reserves starts for the retries of rejected callers."""
 
     def schedule_retry(
         self,
@@ -78,20 +78,20 @@
         starts_per_s: float,
         max_delay_s: float,
     ) -> RetrySlot:
-        """Return when a caller should come back, with a start reserved if possible."""
+        """Return the time of a caller's retry, with a reserved start if possible."""
 
     async def claim(self, work: str) -> Claim:
-        """Use a reserved start, if there is one and it is due."""
+        """Claim a reserved start, if it exists and is due."""
 
     def reserved(self, service: str) -> int:
-        """Return how many starts are reserved by this instance and not yet due."""
+        """Return the number of starts reserved by this instance that are not due."""
 
     def kept(self) -> int:
-        """Return how many reservations this instance keeps that can be claimed."""
+        """Return the number of claimable reservations stored at this instance."""
 
 
 class AdmissionState(NamedTuple):
-    """A service's admission as metrics show it."""
+    """A service's admission state, as exported in metrics."""
 
     plan: Plan
     room: Room | None
@@ -101,48 +101,48 @@
 
 
 class AdmissionObserver(Protocol):
-    """Counts what admission does."""
+    """Records rejections and waiting times."""
 
     def record_refusal(self, priority: int, reason: str) -> None:
-        """Count a refusal."""
+        """Record a rejection."""
 
     def record_wait(self, wait_s: float) -> None:
-        """Count a wait, in seconds."""
+        """Record a waiting time, in seconds."""
 
 
-class Unobserved:
-    """Counts nothing."""
+class NullAdmissionObserver:
+    """Records nothing."""
 
     def record_refusal(self, priority: int, reason: str) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def record_wait(self, wait_s: float) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
 
-class AdmissionShared(Protocol):
-    """What the governed services of one instance share.
+class AdmissionContext(Protocol):
+    """The dependencies that the governed services of one instance share.
 
     Attributes:
         section: The settings.
-        capacity: Knows the runners.
-        peers: Knows what other instances are asked for.
-        returns: Reserves starts.
-        observer: Counts what admission does.
+        capacity: Provides the capacity and load of the runners.
+        peers: Provides the demand at other instances.
+        returns: Reserves starts for retries.
+        observer: Records rejections and waiting times.
         counter: Counts offers.
-        phase: Where the instance begins to spread what it admits, 0 to 1.
+        phase: The initial value of the admitter's remainders, 0 to 1.
     """
 
     section: AdmissionSection
     capacity: Capacity
     peers: PeerDemand
-    returns: Returns
+    returns: RetryScheduler
     observer: AdmissionObserver
     counter: DemandCounter
     phase: float
 
     def demand(self) -> Demand:
-        """Return what this instance is asked for, and what it runs."""
+        """Return the demand at this instance, including its running streams."""
 
     def workspace_names(self) -> dict[int, str]:
-        """Return the declared workspaces by the number that stands for them."""
+        """Return the names of the declared workspaces by `server_number`."""
--- a/src/violethatch/_jobs.py
+++ b/src/violethatch/_jobs.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Jobs that one instance of an availability zone does for all of them.
+"""Jobs that one instance performs on behalf of its availability zone.
 
-The instance is chosen by rendezvous hash, so that the others don't contend
-for the lease; the lease's epoch is the fence of every order that it gives.
+The instance is selected by rendezvous hashing, so that the others don't contend
+for the lease.  The lease's epoch is the fencing token of its orders.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 _ORDER_TIMEOUT_S = 5.0
-#: How often a lease is looked after, as a part of its duration.
+#: The number of renewal attempts per lease duration.
 _RENEWALS_PER_LEASE = 3.0
 
 
 class LeaseHolder:
-    """Holds one job's lease while this instance is chosen for the job.
+    """Acquires and renews a job's lease while this instance is selected for the job.
 
     Args:
-        table: Where the lease is.
-        lease: This instance's view of it.
-        is_chosen: Tells whether this instance should hold it.
+        table: The table that stores the lease.
+        lease: This instance's view of the lease.
+        is_chosen: Returns whether this instance should hold the lease.
     """
 
     def __init__(
@@ -39,40 +39,40 @@
     ) -> None:
         self._table = table
         self._lease = lease
-        self._is_chosen = is_chosen
+        self._is_selected = is_chosen
         self._was_held = False
 
     def epoch(self) -> int | None:
-        """Return the fence for orders given now, None while not the holder."""
+        """Return the current fencing token, or None if the lease is not held."""
         return self._lease.held_epoch(now_s=clocks.now_s())
 
     async def run(self) -> None:
-        """Take and renew the lease until cancelled."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             try:
-                if self._is_chosen():
+                if self._is_selected():
                     await self._renew()
                 else:
                     await self.resign()
             except (TableUnavailableError, AnswerLostError):
-                # A write whose answer was lost is found at the next look;
-                # until then the lease counts from the last certain renewal.
+                # If only the response was lost, the next read finds the write;
+                # until then, the lease is based on the last confirmed renewal.
                 pass
             self._log_change()
             await asyncio.sleep(self._lease.duration_s / _RENEWALS_PER_LEASE)
 
     async def resign(self) -> None:
-        """Give the lease up at once, if held."""
+        """Release the lease immediately, if it is held."""
         put = self._lease.resigned()
         if put is None:
             return
         try:
             await self._table.transact([put])
         except (TableUnavailableError, AnswerLostError):
-            return  # it runs out by itself
+            return  # the lease expires
 
     async def _renew(self) -> None:
-        """Look at the row; take or renew the lease if that is due."""
+        """Read the row, and acquire or renew the lease if that is due."""
         key = self._lease.row_key
         rows = await self._table.read([key])
         self._lease.observe(rows.get(key), now_s=clocks.now_s())
@@ -82,7 +82,7 @@
             self._lease.written(put, sent_s=sent_s)
 
     def _log_change(self) -> None:
-        """Say when the lease was won or lost."""
+        """Log that the lease was acquired or lost."""
         epoch = self.epoch()
         is_held = epoch is not None
         if is_held != self._was_held:
@@ -91,25 +91,25 @@
         self._was_held = is_held
 
 
-class _WantedOrder(NamedTuple):
-    """An order that some runner should get."""
+class _PendingOrder(NamedTuple):
+    """An order to be sent to a runner."""
 
     link: EngineLink
     adapter: str
 
 
 class AdapterLoader:
-    """Orders the zone's runners to load the adapters that models declare.
+    """Orders the zone's runners to load the declared adapters of their models.
 
-    Loading an adapter is harmless when repeated or late, so it may also be
-    ordered from servers that don't check the fence; what was loaded is read
-    back from the runner's next load report.
+    Loading an adapter is idempotent and safe when delayed, so the order may also be
+    sent to servers that don't check the fencing token.  The runner's next load report
+    confirms the loaded adapters.
 
     Args:
-        lease: Says whether this instance may give orders, and under which fence.
+        lease: Provides the fencing token while this instance may send orders.
         links: Returns the connections to the zone's runners.
-        adapters: Returns each model's adapters.
-        interval_s: Between rounds, in seconds.
+        adapters: Returns the adapters of each model.
+        interval_s: The interval between orders, in seconds.
     """
 
     def __init__(
@@ -127,34 +127,36 @@
         self._order_ids = itertools.count(1)
 
     async def run(self) -> None:
-        """Give orders, one at a time, until cancelled."""
+        """Send orders sequentially, until cancelled."""
         while True:
-            wanted = self._next()
-            if wanted is not None:
-                await self._give(wanted)
+            pending = self._next_order()
+            if pending is not None:
+                await self._send_order(pending)
             await asyncio.sleep(self._interval_s)
 
-    def _next(self) -> _WantedOrder | None:
-        """Return an order that is due, if any."""
+    def _next_order(self) -> _PendingOrder | None:
+        """Return the next required order, if any."""
         adapters = self._adapters()
         for link in self._links():
             if link.hello is None:
                 continue
             for adapter in adapters.get(link.hello.model, ()):
                 if adapter not in link.load.adapters:
-                    return _WantedOrder(link, adapter)
+                    return _PendingOrder(link, adapter)
         return None
 
-    async def _give(self, wanted: _WantedOrder) -> None:
-        """Give one order under the current fence, if there is one."""
+    async def _send_order(self, pending: _PendingOrder) -> None:
+        """Send an order with the current fencing token, if the lease is held."""
         fence = self._lease.epoch()
         if fence is None:
             return
-        order = wire.Order(next(self._order_ids), fence, "load_adapter", wanted.adapter)
-        runner = wanted.link.runner_id
+        order = wire.Order(
+            next(self._order_ids), fence, "load_adapter", pending.adapter
+        )
+        runner = pending.link.runner_id
         try:
-            answer = await wanted.link.order(order, timeout_s=_ORDER_TIMEOUT_S)
+            answer = await pending.link.order(order, timeout_s=_ORDER_TIMEOUT_S)
         except TimeoutError:
-            return  # ordering it again is harmless
+            return  # repeating the order is safe
         event = events.ORDER_DONE if answer.accepted else events.ORDER_REFUSED
-        events.log(event, runner=runner, adapter=wanted.adapter, fence=fence)
+        events.log(event, runner=runner, adapter=pending.adapter, fence=fence)
--- a/src/violethatch/_governed_service.py
+++ b/src/violethatch/_service_admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One service whose streams are admitted by priority: its plan, queue and refusals."""
+"""Admission control of one service: its plan, queue and rejections."""
 
 from __future__ import annotations
 
@@ -11,8 +11,15 @@
 from typing import Any, NamedTuple
 
 from . import clocks, events
-from ._admission_types import AdmissionShared, AdmissionState, StartRequest
-from .admission_plan import OPEN, STALE_S, Admitter, Plan, Planner, WorkspacePolicy
+from ._admission_types import AdmissionContext, AdmissionState, StartRequest
+from .admission_plan import (
+    MAX_SUM_AGE_S,
+    UNLIMITED,
+    Admitter,
+    Plan,
+    Planner,
+    WorkspacePolicy,
+)
 from .capacity import Room, Targets
 from .demand import RUNNING, DemandKey, total_demand
 from .desired import CallRoute, ServiceSpec
@@ -24,43 +31,47 @@
 from .start_reservations import MAX_RETRY_S, ClaimOutcome, RetrySlot
 
 
-#: The part of a stream's target for which it may wait: the rest is for its first event.
-_WAIT_PART = 0.25
-#: How often waiting streams are checked, in seconds; a tenth of the shortest wait.
-_QUEUE_TICK_S = 0.0125
-#: The part of the time that a caller has left after which it does not come back.
-_RETURN_PART = 1 / 3
-#: Over how long own streams are counted as in target or not, in seconds.
-_OUTCOME_SPAN_S = 2.0
-#: The fewest own streams in that time that say anything.
+#: The fraction of a stream's target for which it may wait; the remainder is for its
+#: first event.
+_MAX_WAIT_FRACTION = 0.25
+#: The interval between checks of waiting streams, in seconds: a tenth of the shortest
+#: wait.
+_QUEUE_CHECK_INTERVAL_S = 0.0125
+#: The maximum retry delay, as a fraction of the time to the caller's deadline.
+_MAX_RETRY_FRACTION = 1 / 3
+#: The window over which the outcomes of local streams are counted, in seconds.
+_OUTCOME_WINDOW_S = 2.0
+#: The minimum number of local streams in the window for a significant fraction.
 _MIN_OUTCOMES = 5
-#: The least time between two lines on a service's plan, in seconds.
-_LOG_PAUSE_S = 1.0
-#: What a waiting stream takes beside its body, in bytes: its task and connection.
+#: The minimum time between two log lines about a service's plan, in seconds.
+_MIN_LOG_INTERVAL_S = 1.0
+#: The memory for a waiting stream's task and connection, in bytes, in addition to its
+#: body.
 _REQUEST_BYTES = 16_384
-#: The part of the wait that streams queued at a runner may add to a first event.
-_RUNNER_QUEUE_PART = 0.5
+#: The fraction of the target that streams queued at a runner may add to the time to
+#: the first event.
+_RUNNER_QUEUE_FRACTION = 0.5
 
 
-class _Waiter(NamedTuple):
-    """A waiting stream, and how a path for it is found."""
+class _WaitingStream(NamedTuple):
+    """A waiting stream: the future of its path, and the search for a path."""
 
-    found: asyncio.Future[Path | None]
-    find: Callable[[], Path | None]
+    path_future: asyncio.Future[Path | None]
+    find_path: Callable[[], Path | None]
 
 
-class GovernedService:
-    """One service whose streams are admitted by priority."""
+class ServiceAdmission:
+    """Admits, queues and rejects the streams of one service."""
 
-    def __init__(self, admission: AdmissionShared, spec: ServiceSpec) -> None:
+    def __init__(self, admission: AdmissionContext, spec: ServiceSpec) -> None:
         self._admission = admission
         self._spec = spec
         self.number = server_number(spec.name)
-        #: Admitted streams of this instance that are not over yet.
+        #: The number of admitted streams of this instance that are running.
         self.own_running = 0
         self._targets = Targets(0.0, 0.0)
         self._route_priorities: list[int] = []
-        policy = WorkspacePolicy.named(
+        policy = WorkspacePolicy.from_names(
             admission.section.weights, admission.section.workspace_floor_part
         )
         self._planner = Planner(policy=policy)
@@ -69,31 +80,33 @@
             max_requests=admission.section.queue_requests,
             max_bytes=admission.section.queue_kb * 1024,
         )
-        self._waiters: dict[str, _Waiter] = {}
-        self._pump: asyncio.Task[None] | None = None
-        self._plan = OPEN
+        self._waiters: dict[str, _WaitingStream] = {}
+        self._queue_task: asyncio.Task[None] | None = None
+        self._plan = UNLIMITED
         self._planned_s: float | None = None
-        self._logged: tuple[Plan, float] | None = None
+        self._last_logged: tuple[Plan, float] | None = None
         self._room: Room | None = None
         self._running = 0
         self._demand: Mapping[int, float] = {}
         self._heaviest: Mapping[tuple[int, int], float] = {}
         self._age_s: float | None = None
-        #: When own streams ended, and whether they were in target.
+        #: The end times of local streams, and whether they met their targets.
         self._outcomes: collections.deque[tuple[float, bool]] = collections.deque()
 
-    def take_section(self, section: AdmissionSection) -> None:
-        """Take changed settings in."""
-        policy = WorkspacePolicy.named(section.weights, section.workspace_floor_part)
-        self._planner.take_policy(policy)
-        self._admitter.take_policy(policy)
-        dropped = self._queue.resize(
+    def apply_settings(self, section: AdmissionSection) -> None:
+        """Apply changed settings."""
+        policy = WorkspacePolicy.from_names(
+            section.weights, section.workspace_floor_part
+        )
+        self._planner.set_policy(policy)
+        self._admitter.set_policy(policy)
+        removed = self._queue.resize(
             max_requests=section.queue_requests, max_bytes=section.queue_kb * 1024
         )
-        self._give_up(dropped)
+        self._finish_without_path(removed)
 
-    def take_routes(self, spec: ServiceSpec, routes: Iterable[CallRoute]) -> None:
-        """Take in the routes that lead to the service: the tightest targets count."""
+    def set_routes(self, spec: ServiceSpec, routes: Iterable[CallRoute]) -> None:
+        """Set the routes to the service; the strictest of their targets apply."""
         self._spec = spec
         routes = tuple(routes)
         self._route_priorities = sorted({route.priority for route in routes})
@@ -103,42 +116,45 @@
             gap_s=min(gaps_s, default=0.0),
         )
 
-    def release(self) -> None:
-        """Let all that waits look for a path as if nothing were governed."""
-        for one in self._queue.expire(now_s=math.inf):
+    def release_waiting(self) -> None:
+        """Finish each wait with a path search, as without admission control."""
+        for stream in self._queue.expire(now_s=math.inf):
             try:
-                path = self._waiters[one.id].find()
+                path = self._waiters[stream.id].find_path()
             except Exception as error:
-                self._end_wait(one.id, error)
+                self._finish_wait(stream.id, error)
             else:
-                self._end_wait(one.id, path)
+                self._finish_wait(stream.id, path)
 
     def refresh(self, *, now_s: float) -> None:
-        """Make the plan anew from what is known now."""
+        """Update the plan from the current demand and capacity."""
         admission = self._admission
         peers = admission.peers
-        both = total_demand([admission.demand(), peers.demand()])
+        total = total_demand([admission.demand(), peers.demand()])
         self._demand = {
             key.priority: rate
-            for key, rate in both.offers_per_s.items()
+            for key, rate in total.offers_per_s.items()
             if key.service == self.number and key.priority != RUNNING
         }
-        summed = both.offers_per_s.get(DemandKey(self.number, RUNNING), 0.0)
+        summed_running = total.offers_per_s.get(DemandKey(self.number, RUNNING), 0.0)
         self._heaviest = {
             (key.priority, workspace): rate
-            for (key, workspace), rate in both.heaviest_per_s.items()
+            for (key, workspace), rate in total.heaviest_per_s.items()
             if key.service == self.number
         }
         self._room = admission.capacity.room(self._spec, self._targets)
-        self._running = max(admission.capacity.running(self._spec), round(summed))
+        self._running = max(
+            admission.capacity.running(self._spec), round(summed_running)
+        )
         self._age_s = peers.age_s() if peers.has_peers() else 0.0
-        in_target_part = self._in_target_part(now_s=now_s)
-        is_stale = self._age_s is None or self._age_s > STALE_S
+        in_target_part = self._in_target_fraction(now_s=now_s)
+        is_stale = self._age_s is None or self._age_s > MAX_SUM_AGE_S
         has_room = self._room.streams > 0.0
         if not has_room and in_target_part is None:
-            # No list has been read, no runner is left, or none meets the targets.
-            # Searches for paths tell these apart; without any, they are refused.
-            plan = OPEN
+            # No server list has been read, no runner is available, or no runner meets
+            # the targets.  The path search distinguishes these cases and rejects
+            # streams that have no path.
+            plan = UNLIMITED
         elif is_stale or not has_room:
             plan = self._planner.plan_from_local_load(
                 self._demand, in_target_part=in_target_part, now_s=now_s
@@ -157,19 +173,19 @@
         self._log_plan(now_s=now_s)
 
     async def admit(self, request: StartRequest) -> bool:
-        """Admit a stream, or refuse it at once; tell whether its start is reserved.
+        """Admit or immediately reject a stream; return whether its start is reserved.
 
         Raises:
-            NotAdmittedError: It is refused; nothing has run.
+            NotAdmittedError: The stream is rejected; nothing has run.
         """
         now_s = clocks.now_s()
-        if self._planned_s is None or now_s - self._planned_s > STALE_S:
+        if self._planned_s is None or now_s - self._planned_s > MAX_SUM_AGE_S:
             self.refresh(now_s=now_s)  # the process was suspended
         plan = self._plan
-        if plan.level is None or plan.part_of(request.priority) >= 1.0:
-            self._count(request, now_s=now_s)
+        if plan.level is None or plan.admitted_fraction(request.priority) >= 1.0:
+            self._count_offer(request, now_s=now_s)
             return False
-        claim = await self._admission.returns.claim(request.work)
+        claim = await self._admission.returns.claim(request.work_id)
         if claim.outcome is not ClaimOutcome.UNKNOWN:
             events.log(
                 events.START_CLAIMED,
@@ -181,9 +197,11 @@
         if claim.outcome is ClaimOutcome.DUE:
             return True
         if claim.outcome is ClaimOutcome.EARLY:
-            raise self._refusal(request, claim.left_s, reason="early", is_kept=True)
+            raise self._make_refusal(
+                request, claim.left_s, reason="early", is_start_reserved=True
+            )
         now_s = clocks.now_s()
-        self._count(request, now_s=now_s)
+        self._count_offer(request, now_s=now_s)
         workspace = server_number(request.workspace or "")
         is_admitted = self._admitter.admits(
             plan,
@@ -192,12 +210,12 @@
             workspace_offers_per_s=self._heaviest.get((request.priority, workspace)),
         )
         if not is_admitted:
-            slot = self._slot(request)
-            raise self._refusal(
+            slot = self._schedule_retry(request)
+            raise self._make_refusal(
                 request,
                 slot.at_s - clocks.now_s(),
                 reason="level",
-                is_kept=slot.is_reserved,
+                is_start_reserved=slot.is_reserved,
             )
         return False
 
@@ -209,20 +227,20 @@
         is_blocked: Callable[[float], bool],
         is_reserved: bool,
     ) -> Path | None:
-        """Return a path with room, or None after a short wait for one."""
+        """Return a path with free capacity, or None after a short wait."""
         now_s = clocks.now_s()
         call = request.call
-        limit_s = call.received_s + _WAIT_PART * request.target_s
-        goes_first = is_reserved or not len(self._queue)
-        if goes_first:
+        limit_s = call.received_s + _MAX_WAIT_FRACTION * request.target_s
+        skips_queue = is_reserved or not len(self._queue)
+        if skips_queue:
             path = find()
-            if self._with_room(request.target_s, path) is not None:
+            if self._path_within_target(request.target_s, path) is not None:
                 return path
             if path is None and is_blocked(limit_s - now_s):
                 return None
         elif is_blocked(limit_s - now_s) and find() is None:
             return None
-        offer = self._queue.offer(
+        queue_result = self._queue.offer(
             QueuedRequest(
                 id=call.id,
                 priority=request.priority,
@@ -235,18 +253,18 @@
             starts_per_s=self._own_starts_per_s(),
             now_s=now_s,
         )
-        if offer.displaced is not None:
-            self._give_up([offer.displaced])
-        if not offer.is_queued:
+        if queue_result.displaced is not None:
+            self._finish_without_path([queue_result.displaced])
+        if not queue_result.is_queued:
             return None
-        waiter = _Waiter(asyncio.get_running_loop().create_future(), find)
+        waiter = _WaitingStream(asyncio.get_running_loop().create_future(), find)
         self._waiters[call.id] = waiter
-        if self._pump is None or self._pump.done():
-            self._pump = asyncio.create_task(self._start_waiting())
+        if self._queue_task is None or self._queue_task.done():
+            self._queue_task = asyncio.create_task(self._process_queue())
         try:
-            path = await waiter.found
+            path = await waiter.path_future
         finally:
-            # Once it is woken, another call of the same id may wait.
+            # After the future has completed, another call with the same id may wait.
             if self._waiters.get(call.id) is waiter:
                 self._queue.remove(call.id)
                 del self._waiters[call.id]
@@ -263,11 +281,11 @@
         )
         return path
 
-    def slot_s(self, request: StartRequest, *, reason: str) -> float:
-        """Return in how many seconds a caller should come back, and count it."""
+    def retry_delay_s(self, request: StartRequest, *, reason: str) -> float:
+        """Record a rejection, and return the caller's retry delay in seconds."""
         self._admission.observer.record_refusal(request.priority, reason)
-        slot = self._slot(request)
-        left_s = max(0.0, slot.at_s - clocks.now_s())
+        slot = self._schedule_retry(request)
+        delay_s = max(0.0, slot.at_s - clocks.now_s())
         if slot.is_reserved:
             events.log(
                 events.START_RESERVED,
@@ -276,14 +294,14 @@
                 priority=request.priority,
                 workspace=request.workspace,
                 reason=reason,
-                left_s=round(left_s, 3),
+                left_s=round(delay_s, 3),
             )
-        return left_s
+        return delay_s
 
-    def ended(self, *, is_in_target: bool, now_s: float) -> None:
-        """Note whether an own stream came within its targets."""
+    def record_outcome(self, *, is_in_target: bool, now_s: float) -> None:
+        """Record whether a local stream met its targets."""
         self._outcomes.append((now_s, is_in_target))
-        self._drop_outcomes(now_s=now_s)
+        self._expire_outcomes(now_s=now_s)
 
     def state(self) -> AdmissionState:
         """Return the state, for metrics."""
@@ -296,12 +314,12 @@
         )
 
     def dump(self) -> dict[str, Any]:
-        """Return the state, for a person or a tool."""
+        """Return the state, for the state dump."""
         names = self._admission.workspace_names()
         plan = self._plan._asdict()
         plan["parts"] = {str(p): part for p, part in self._plan.parts.items()}
         if not math.isfinite(self._plan.admitted_per_s):
-            plan["admitted_per_s"] = None  # JSON has no infinity
+            plan["admitted_per_s"] = None  # JSON can't represent infinity
         return {
             "route_priorities": self._route_priorities,
             "room": self._room._asdict() if self._room else None,
@@ -323,93 +341,100 @@
             "reserved_starts": self._admission.returns.reserved(self._spec.name),
         }
 
-    def _count(self, request: StartRequest, *, now_s: float) -> None:
-        """Count an offer."""
+    def _count_offer(self, request: StartRequest, *, now_s: float) -> None:
+        """Add an offer to the demand counter."""
         self._admission.counter.record_offer(
             DemandKey(self.number, request.priority),
             server_number(request.workspace or ""),
             now_s=now_s,
         )
 
-    def _with_room(self, target_s: float, path: Path | None) -> Path | None:
-        """Return a path if its first runner starts a stream within the target."""
+    def _path_within_target(self, target_s: float, path: Path | None) -> Path | None:
+        """Return a path if its first runner can start a stream within the target."""
         if path is None:
             return None
-        fullness = self._admission.capacity.first_server_utilization(self._spec, path)
+        utilization = self._admission.capacity.first_server_utilization(
+            self._spec, path
+        )
         stream_s = self._room.stream_s if self._room is not None else 0.0
-        queued_part = _RUNNER_QUEUE_PART * target_s / max(stream_s, 1.0)
-        return path if fullness < 1.0 + queued_part else None
+        queue_allowance = _RUNNER_QUEUE_FRACTION * target_s / max(stream_s, 1.0)
+        return path if utilization < 1.0 + queue_allowance else None
 
-    async def _start_waiting(self) -> None:
-        """Start or refuse waiting streams until none is left."""
+    async def _process_queue(self) -> None:
+        """Start or reject waiting streams until the queue is empty."""
         while len(self._queue):
-            await asyncio.sleep(_QUEUE_TICK_S)
-            self._give_up(self._queue.expire(now_s=clocks.now_s()))
+            await asyncio.sleep(_QUEUE_CHECK_INTERVAL_S)
+            self._finish_without_path(self._queue.expire(now_s=clocks.now_s()))
             is_started = True
             while is_started:
-                is_started = self._start_one()
-                await asyncio.sleep(0)  # the stream counts itself in
+                is_started = self._start_next()
+                await asyncio.sleep(0)  # lets the stream update the counters
 
-    def _start_one(self) -> bool:
-        """Start the most urgent stream that finds a path; tell whether there is one.
+    def _start_next(self) -> bool:
+        """Start the most urgent stream that has a path; return whether one started.
 
-        Limits of servers may close paths to some priorities only, so that the next
-        stream of each is tried.  Room beyond the target of a more urgent stream is left
-        to that stream.
+        Server limits may block paths for some priorities only, so the next stream of
+        each priority is tried.  A less urgent stream with a longer target may not use
+        capacity that does not meet the target of a more urgent stream.
         """
         now_s = clocks.now_s()
-        least_target_s = math.inf
-        for one in self._queue.firsts(now_s=now_s):
-            waiter = self._waiters[one.id]
-            least_target_s = min(least_target_s, one.target_s - one.read_s)
+        min_target_s = math.inf
+        for stream in self._queue.firsts(now_s=now_s):
+            waiter = self._waiters[stream.id]
+            min_target_s = min(min_target_s, stream.target_s - stream.read_s)
             try:
-                path = self._with_room(least_target_s, waiter.find())
+                path = self._path_within_target(min_target_s, waiter.find_path())
             except Exception as error:
-                self._queue.remove(one.id)
-                self._end_wait(one.id, error)
+                self._queue.remove(stream.id)
+                self._finish_wait(stream.id, error)
                 return True
             if path is not None:
-                self._queue.next(now_s=now_s, priority=one.priority)
-                self._end_wait(one.id, path)
+                self._queue.next(now_s=now_s, priority=stream.priority)
+                self._finish_wait(stream.id, path)
                 return True
         return False
 
-    def _end_wait(self, call_id: str, outcome: Path | Exception | None) -> None:
-        """Let a waiting stream go on."""
+    def _finish_wait(self, call_id: str, outcome: Path | Exception | None) -> None:
+        """Complete a stream's wait with a path or an error."""
         waiter = self._waiters.pop(call_id, None)
-        if waiter is None or waiter.found.done():
+        if waiter is None or waiter.path_future.done():
             return
         if isinstance(outcome, Exception):
-            waiter.found.set_exception(outcome)
+            waiter.path_future.set_exception(outcome)
         else:
-            waiter.found.set_result(outcome)
+            waiter.path_future.set_result(outcome)
 
-    def _give_up(self, waiting: Iterable[QueuedRequest]) -> None:
-        """Let streams go on without a path; they are refused."""
-        for one in waiting:
-            self._end_wait(one.id, None)
+    def _finish_without_path(self, waiting: Iterable[QueuedRequest]) -> None:
+        """Complete the waits of streams without a path; they are rejected."""
+        for stream in waiting:
+            self._finish_wait(stream.id, None)
 
-    def _slot(self, request: StartRequest) -> RetrySlot:
-        """Reserve a start for a refused caller."""
-        left_s = clocks.left_s(request.call.deadline_s)
+    def _schedule_retry(self, request: StartRequest) -> RetrySlot:
+        """Reserve a start for a rejected caller's retry."""
+        remaining_s = clocks.left_s(request.call.deadline_s)
         return self._admission.returns.schedule_retry(
             self._spec.name,
-            request.work,
+            request.work_id,
             request.priority,
             starts_per_s=self._own_starts_per_s(),
-            max_delay_s=min(MAX_RETRY_S, _RETURN_PART * left_s),
+            max_delay_s=min(MAX_RETRY_S, _MAX_RETRY_FRACTION * remaining_s),
         )
 
     def _own_starts_per_s(self) -> float:
-        """Return this instance's part of the starts that the runners can take."""
+        """Return this instance's share of the runners' start rate."""
         if self._room is None:
             return 0.0
         return self._room.starts_per_s / (1 + self._admission.peers.instance_count())
 
-    def _refusal(
-        self, request: StartRequest, retry_after_s: float, *, reason: str, is_kept: bool
+    def _make_refusal(
+        self,
+        request: StartRequest,
+        retry_after_s: float,
+        *,
+        reason: str,
+        is_start_reserved: bool,
     ) -> NotAdmittedError:
-        """Return a refusal, and log what decided it."""
+        """Log and return a rejection."""
         retry_after_s = round(max(0.0, retry_after_s), 2)
         self._admission.observer.record_refusal(request.priority, reason)
         events.log(
@@ -422,48 +447,50 @@
             room_streams=round(self._room.streams, 1) if self._room else None,
             running=self._running,
             level=self._plan.level,
-            part=round(self._plan.part_of(request.priority), 3),
+            part=round(self._plan.admitted_fraction(request.priority), 3),
             workspace_starts_per_s=self._plan.workspace_starts_per_s,
             age_s=self._age_s,
             is_fallback=self._plan.is_fallback,
             retry_after_s=retry_after_s,
-            is_reserved=is_kept,
+            is_reserved=is_start_reserved,
         )
         msg = f"priority {request.priority} is not admitted ({reason})"
         return NotAdmittedError(msg, retry_after_s=retry_after_s)
 
-    def _in_target_part(self, *, now_s: float) -> float | None:
-        """Return the part of own streams that ended in target lately."""
-        self._drop_outcomes(now_s=now_s)
+    def _in_target_fraction(self, *, now_s: float) -> float | None:
+        """Return the fraction of recent local streams that met their targets."""
+        self._expire_outcomes(now_s=now_s)
         if len(self._outcomes) < _MIN_OUTCOMES:
             return None
-        return sum(one for _, one in self._outcomes) / len(self._outcomes)
+        return sum(is_met for _, is_met in self._outcomes) / len(self._outcomes)
 
-    def _drop_outcomes(self, *, now_s: float) -> None:
-        """Drop the outcomes that are older than their span."""
-        while self._outcomes and now_s - self._outcomes[0][0] > _OUTCOME_SPAN_S:
+    def _expire_outcomes(self, *, now_s: float) -> None:
+        """Remove the outcomes that are older than the window."""
+        while self._outcomes and now_s - self._outcomes[0][0] > _OUTCOME_WINDOW_S:
             self._outcomes.popleft()
 
     def _log_plan(self, *, now_s: float) -> None:
-        """Log a plan whose level has changed, once a second at the most."""
-        known, logged_s = self._logged or (OPEN, float("-inf"))
-        is_same = known.level == self._plan.level
-        is_same = is_same and known.is_fallback == self._plan.is_fallback
-        if is_same or now_s - logged_s < _LOG_PAUSE_S:
+        """Log changes of the plan's level, at most once per second."""
+        logged_plan, logged_s = self._last_logged or (UNLIMITED, float("-inf"))
+        is_unchanged = logged_plan.level == self._plan.level
+        is_unchanged = (
+            is_unchanged and logged_plan.is_fallback == self._plan.is_fallback
+        )
+        if is_unchanged or now_s - logged_s < _MIN_LOG_INTERVAL_S:
             return
-        self._logged = (self._plan, now_s)
+        self._last_logged = (self._plan, now_s)
         room = self._room
         events.log(
             events.ADMISSION_CHANGED,
             service=self._spec.name,
             level=self._plan.level,
-            parts={str(one): round(p, 3) for one, p in self._plan.parts.items()},
+            parts={str(key): round(p, 3) for key, p in self._plan.parts.items()},
             workspace_starts_per_s=self._plan.workspace_starts_per_s,
             admitted_per_s=round(self._plan.admitted_per_s, 1),
             room_streams=round(room.streams, 1) if room else None,
             room_starts_per_s=round(room.starts_per_s, 1) if room else None,
             running=self._running,
-            demand_per_s={str(one): round(r, 1) for one, r in self._demand.items()},
+            demand_per_s={str(key): round(r, 1) for key, r in self._demand.items()},
             age_s=self._age_s,
             is_fallback=self._plan.is_fallback,
         )
--- a/src/violethatch/admission_preview.py
+++ b/src/violethatch/admission_preview.py
@@ -1,12 +1,13 @@
 # SPDX-License-Identifier: MIT
-"""Tells what admission would refuse under other settings, from a state dump.
+"""Preview the rejections under changed admission settings, from a state dump.
 
-Load pattern: while runners can't take all that is asked for, an operator changes
-weights or floors of workspaces, and a wrong value refuses paying callers at once.
+Load pattern: while demand exceeds the capacity of the runners, an operator changes
+weights or floors of workspaces, and a wrong value immediately rejects paying callers.
 
-The plan is made anew from the sums of the dump, the same way for both settings, so
-that they differ by the settings alone.  It leaves out what an instance adds to these
-sums: what was admitted since they were made, and rates that are still rising.
+The plan is computed from the sums of the dump in the same way for both settings, so
+that only the settings differ.  Corrections that an instance applies to the sums are
+omitted: the streams admitted since the sums were computed, and the projected rates of
+surges.
 
 .. versionadded:: 26.5.0
 """
@@ -20,13 +21,13 @@
 
 import msgspec
 
-from .admission_plan import STALE_S, Admitter, Plan, Planner, WorkspacePolicy
+from .admission_plan import MAX_SUM_AGE_S, Admitter, Plan, Planner, WorkspacePolicy
 from .capacity import Room
 from .router_settings import AdmissionSection
 
 
 class RoomDump(TypedDict):
-    """A service's room, as dumped."""
+    """The capacity of a service in the state dump."""
 
     streams: float
     starts_per_s: float
@@ -35,7 +36,7 @@
 
 
 class HeavyDump(TypedDict):
-    """A workspace's demand, as dumped."""
+    """The demand of a workspace in the state dump."""
 
     priority: int
     workspace: str
@@ -44,7 +45,7 @@
 
 
 class PlanDump(TypedDict):
-    """A plan, as dumped; what is infinite is None."""
+    """A plan in the state dump; infinite values are None."""
 
     parts: dict[str, float]
     level: int | None
@@ -54,7 +55,7 @@
 
 
 class ServiceDump(TypedDict):
-    """A service's admission, as dumped.
+    """The admission control of a service in the state dump.
 
     .. versionadded:: 26.5.0
     """
@@ -69,7 +70,7 @@
 
 
 class SettingsDump(TypedDict):
-    """The active ``[admission]`` settings, as dumped."""
+    """The active ``[admission]`` settings in the state dump."""
 
     mode: str
     queue_requests: int
@@ -79,7 +80,7 @@
 
 
 class StateDump(TypedDict):
-    """What is used of an instance's state dump.
+    """The part of an instance's state dump that the preview uses.
 
     .. versionadded:: 26.5.0
     """
@@ -90,11 +91,11 @@
 
 
 class WorkspacePreview(NamedTuple):
-    """What would be refused of a workspace's streams of one priority.
+    """The previewed rejections of a workspace's streams of one priority.
 
     Attributes:
-        workspace: Its name, or its number where no workspace of the desired state has
-            it; None stands for all that are not among the heaviest.
+        workspace: The name, or the number if the desired state has no such workspace;
+            None for the workspaces that are not among the heaviest.
 
     .. versionadded:: 26.5.0
     """
@@ -105,7 +106,7 @@
 
 
 class PriorityPreview(NamedTuple):
-    """What would be refused of a priority's streams.
+    """The previewed rejections of a priority's streams.
 
     .. versionadded:: 26.5.0
     """
@@ -117,12 +118,12 @@
 
 
 class ServicePreview(NamedTuple):
-    """What would be refused of a service's streams.
+    """The previewed rejections of a service's streams.
 
     Attributes:
-        is_governed: Whether streams are admitted by priority at all.
-        is_fallback: Whether the instance has no sums that are recent enough: the parts
-            are then those of the dump, on which weights and floors have no effect.
+        is_governed: Whether admission control applies to the service.
+        is_fallback: Whether the instance lacks recent sums.  The fractions are then
+            copied from the dump, and weights and floors have no effect.
 
     .. versionadded:: 26.5.0
     """
@@ -135,10 +136,10 @@
 
 
 def parse_state(data: bytes | str) -> StateDump:
-    """Read a state dump.
+    """Parse a state dump.
 
     Raises:
-        ValueError: It is no dump of a router's state.
+        ValueError: The data is not a state dump of a router.
 
     .. versionadded:: 26.5.0
     """
@@ -153,12 +154,12 @@
     """Return the ``[admission]`` settings that were active at the time of a dump.
 
     Raises:
-        ValueError: They are no valid settings.
+        ValueError: The settings are invalid.
 
     .. versionadded:: 26.5.0
     """
-    given: Mapping[str, Any] = state["admission_settings"]
-    values = [given[name] for name in AdmissionSection._fields]
+    dumped: Mapping[str, Any] = state["admission_settings"]
+    values = [dumped[name] for name in AdmissionSection._fields]
     try:
         section = msgspec.convert(values, AdmissionSection)
         _ = section.weights
@@ -169,10 +170,10 @@
 
 
 def preview(state: StateDump, section: AdmissionSection) -> list[ServicePreview]:
-    """Return what would be refused at a dump's demand under some settings.
+    """Return the rejections at a dump's demand under the given settings.
 
-    Services that were not governed at the time of the dump are not among them, as
-    their demand was not counted.
+    Services that were not governed at the time of the dump are omitted, as their
+    demand was not counted.
 
     Args:
         state: The dump.
@@ -189,19 +190,19 @@
 def preview_lines(
     state: StateDump, *, active: AdmissionSection, proposed: AdmissionSection
 ) -> list[str]:
-    """Return a dump's refusals under two settings, as a person reads them.
+    """Return a table that compares the rejections under two settings.
 
     Args:
         state: The dump.
-        active: The settings that are in force.
-        proposed: Those that are to be compared with them.
+        active: The active settings.
+        proposed: The settings to compare with the active ones.
 
     .. versionadded:: 26.5.0
     """
     lines: list[str] = []
-    after = preview(state, proposed)
-    for one, other in zip(preview(state, active), after, strict=True):
-        lines += _service_lines(state["admission"][one.service], one, other)
+    proposed_previews = preview(state, proposed)
+    for old, new in zip(preview(state, active), proposed_previews, strict=True):
+        lines += _service_lines(state["admission"][old.service], old, new)
     if not lines:
         lines.append("no service is governed in this state")
     if proposed.mode is not active.mode:
@@ -215,19 +216,19 @@
 def _service_preview(
     name: str, dump: ServiceDump, section: AdmissionSection
 ) -> ServicePreview:
-    """Return what would be refused of a service's streams."""
-    demand = {int(one): rate for one, rate in dump["demand_per_s"].items()}
+    """Return the rejections of a service's streams."""
+    demand = {int(key): rate for key, rate in dump["demand_per_s"].items()}
     if not section.governs(dump["route_priorities"]):
         priorities = [
-            PriorityPreview(one, rate, 0.0, ()) for one, rate in sorted(demand.items())
+            PriorityPreview(key, rate, 0.0, ()) for key, rate in sorted(demand.items())
         ]
         return ServicePreview(name, False, False, None, priorities)
-    policy = WorkspacePolicy.named(section.weights, section.workspace_floor_part)
+    policy = WorkspacePolicy.from_names(section.weights, section.workspace_floor_part)
     plan = _plan(dump, demand, policy)
     admitter = Admitter(policy=policy)
     priorities = [
-        _priority_preview(one, rate, dump["heaviest_per_s"], plan, admitter)
-        for one, rate in sorted(demand.items())
+        _priority_preview(key, rate, dump["heaviest_per_s"], plan, admitter)
+        for key, rate in sorted(demand.items())
     ]
     return ServicePreview(name, True, plan.is_fallback, plan.level, priorities)
 
@@ -235,15 +236,20 @@
 def _plan(
     dump: ServiceDump, demand: Mapping[int, float], policy: WorkspacePolicy
 ) -> Plan:
-    """Return the plan of a dump's sums, or the dump's own one without usable sums."""
+    """Return the plan for a dump's sums, or the dumped plan without usable sums."""
     age_s, room = dump["age_s"], dump["room"]
-    known = dump["plan"]
-    if known["is_fallback"] or room is None or age_s is None or age_s > STALE_S:
-        parts = {int(one): part for one, part in known["parts"].items()}
-        return Plan(parts, known["level"], None, math.inf, is_fallback=True)
+    dumped_plan = dump["plan"]
+    if (
+        dumped_plan["is_fallback"]
+        or room is None
+        or age_s is None
+        or age_s > MAX_SUM_AGE_S
+    ):
+        parts = {int(key): fraction for key, fraction in dumped_plan["parts"].items()}
+        return Plan(parts, dumped_plan["level"], None, math.inf, is_fallback=True)
     heaviest = {
-        (one["priority"], one["number"]): one["offers_per_s"]
-        for one in dump["heaviest_per_s"]
+        (entry["priority"], entry["number"]): entry["offers_per_s"]
+        for entry in dump["heaviest_per_s"]
     }
     return Planner(policy=policy).plan(
         demand, heaviest, Room(**room), dump["running"], age_s=age_s, now_s=0.0
@@ -257,24 +263,30 @@
     plan: Plan,
     admitter: Admitter,
 ) -> PriorityPreview:
-    """Return what would be refused of a priority's streams."""
-    heavy = [one for one in heaviest if one["priority"] == priority]
-    heavy.sort(key=lambda one: -one["offers_per_s"])
+    """Return the rejections of a priority's streams."""
+    heavy_entries = [entry for entry in heaviest if entry["priority"] == priority]
+    heavy_entries.sort(key=lambda entry: -entry["offers_per_s"])
     workspaces = []
-    for one in heavy:
-        rate = one["offers_per_s"]
-        part = admitter.fraction(
-            plan, priority, one["number"], workspace_offers_per_s=rate
+    for entry in heavy_entries:
+        rate = entry["offers_per_s"]
+        fraction = admitter.fraction(
+            plan, priority, entry["number"], workspace_offers_per_s=rate
         )
         workspaces.append(
-            WorkspacePreview(one["workspace"], rate, rate * max(0.0, 1.0 - part))
+            WorkspacePreview(entry["workspace"], rate, rate * max(0.0, 1.0 - fraction))
         )
-    rest_per_s = max(0.0, offers_per_s - sum(one["offers_per_s"] for one in heavy))
-    part = admitter.fraction(plan, priority, 0, workspace_offers_per_s=None)
-    rest = WorkspacePreview(None, rest_per_s, rest_per_s * max(0.0, 1.0 - part))
-    if heavy and rest_per_s > 0.0:
-        workspaces.append(rest)
-    refused = [one.refused_per_s for one in workspaces or [rest]]
+    light_total_per_s = max(
+        0.0, offers_per_s - sum(entry["offers_per_s"] for entry in heavy_entries)
+    )
+    fraction = admitter.fraction(plan, priority, 0, workspace_offers_per_s=None)
+    light_workspaces = WorkspacePreview(
+        None, light_total_per_s, light_total_per_s * max(0.0, 1.0 - fraction)
+    )
+    if heavy_entries and light_total_per_s > 0.0:
+        workspaces.append(light_workspaces)
+    refused = [
+        workspace.refused_per_s for workspace in workspaces or [light_workspaces]
+    ]
     return PriorityPreview(priority, offers_per_s, sum(refused), workspaces)
 
 
@@ -289,33 +301,33 @@
         f"{active.service}: room {shown_room}, running {dump['running']:g}, "
         f"age of sums {shown_age}"
     )
-    for title, one in (("active", active), ("proposed", proposed)):
-        if not one.is_governed:
+    for title, service in (("active", active), ("proposed", proposed)):
+        if not service.is_governed:
             yield f"  {title}: not governed, nothing is refused by priority"
-        elif one.is_fallback:
+        elif service.is_fallback:
             yield f"  {title}: fallback, weights and floors have no effect"
         else:
-            level = "none" if one.level is None else one.level
+            level = "none" if service.level is None else service.level
             yield f"  {title}: level {level}"
     yield _row("priority", "workspace", "offers/s", "active", "proposed")
     for old, new in zip(active.priorities, proposed.priorities, strict=True):
-        yield _figures(str(old.priority), "all", old, new)
-        # A service that is not governed has no rows of workspaces.
-        by_old = {one.workspace: one for one in old.workspaces}
-        by_new = {one.workspace: one for one in new.workspaces}
-        for name in by_old | by_new:
-            first = by_old.get(name) or by_new[name]._replace(refused_per_s=0.0)
-            second = by_new.get(name) or first._replace(refused_per_s=0.0)
-            yield _figures("", name or "(all others)", first, second)
+        yield _rates_row(str(old.priority), "all", old, new)
+        # A service that is not governed has no rows for workspaces.
+        old_rows = {entry.workspace: entry for entry in old.workspaces}
+        new_rows = {entry.workspace: entry for entry in new.workspaces}
+        for name in old_rows | new_rows:
+            old_row = old_rows.get(name) or new_rows[name]._replace(refused_per_s=0.0)
+            new_row = new_rows.get(name) or old_row._replace(refused_per_s=0.0)
+            yield _rates_row("", name or "(all others)", old_row, new_row)
 
 
-def _figures(
+def _rates_row(
     priority: str,
     workspace: str,
     old: PriorityPreview | WorkspacePreview,
     new: PriorityPreview | WorkspacePreview,
 ) -> str:
-    """Return a row with what is offered, and refused before and after."""
+    """Return a row with the offers, and the rejections under both settings."""
     return _row(
         priority,
         workspace,
@@ -326,6 +338,6 @@
 
 
 def _row(priority: str, workspace: str, *figures: str) -> str:
-    """Return a row of the table: refusals per second in its last two columns."""
-    columns = "".join(f"{one:>10}" for one in figures)
+    """Return a row of the table, with rejections per second in the last two columns."""
+    columns = "".join(f"{figure:>10}" for figure in figures)
     return f"  {priority:<9} {workspace:<20}{columns}"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Streams that compete for room at one instance."""
+"""Admission control of streams that compete for capacity at one instance."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     make_routing,
 )
 from routing_samples import call_route, desired_state, runner
-from violethatch import _governed_service, clocks
+from violethatch import _service_admission, clocks
 from violethatch._admission import Admission, StartRequest
 from violethatch.admission_preview import active_section, parse_state, preview
 from violethatch.capacity import Room
@@ -41,40 +41,40 @@
 NO_ROOM = Room(0.0, 0.0, 0.0, 0.0)
 FREE = Room(streams=100.0, starts_per_s=50.0, tokens_per_s=1e4, stream_s=2.0)
 MODEL = server_number("model")
-#: Urgencies of calls of a workspace of priority 0 on the two routes.
-MOST, LEAST = 0, 2
+#: The priorities of calls on the two routes, for a workspace of priority 0.
+URGENT_PRIORITY, LATER_PRIORITY = 0, 2
 
 
 class Runners:
-    """Room and streams that a test sets."""
+    """A capacity and load that the test sets."""
 
     def __init__(self):
-        self.now = FREE
+        self.capacity = FREE
         self.streams = 0
-        self.first_fullness = 0.0
+        self.first_utilization = 0.0
 
     def room(self, _service, _targets):
-        return self.now
+        return self.capacity
 
     def running(self, _service):
         return self.streams
 
     def first_server_utilization(self, _service, _path):
-        return self.first_fullness
+        return self.first_utilization
 
 
 class Peers:
-    """What other instances are asked for."""
+    """A demand at other instances that the test sets."""
 
     def __init__(self):
         self.sum = NO_DEMAND
-        self.old_s = 0.3
+        self.sum_age_s = 0.3
 
     def demand(self):
         return self.sum
 
     def age_s(self):
-        return self.old_s
+        return self.sum_age_s
 
     def has_peers(self):
         return True
@@ -83,8 +83,8 @@
         return 7
 
 
-class Returns:
-    """Reserved starts that a test sets."""
+class FakeRetryScheduler:
+    """Reserved starts that the test sets."""
 
     def __init__(self):
         self.claims = {}
@@ -104,44 +104,51 @@
         return 3
 
 
-class Bench:
-    """An instance's admission between fakes."""
+class AdmissionHarness:
+    """The admission control of an instance with fake dependencies."""
 
     def __init__(self, state=STATE, **section):
-        self.runners, self.peers, self.returns = Runners(), Peers(), Returns()
+        self.runners, self.peers, self.retry_scheduler = (
+            Runners(),
+            Peers(),
+            FakeRetryScheduler(),
+        )
         self.admission = Admission(
             AdmissionSection(**section),
             capacity=self.runners,
             peers=self.peers,
-            returns=self.returns,
+            returns=self.retry_scheduler,
             phase=0.5,
         )
         self.admission.apply_desired_state(state)
 
     def overload(self):
-        """Fill the runners, and let all others ask for twice what ends."""
+        """Fill the runners, with a demand of twice the rate of completions."""
         self.runners.streams = 95
-        rates = {DemandKey(MODEL, MOST): 20.0, DemandKey(MODEL, LEAST): 80.0}
+        rates = {
+            DemandKey(MODEL, URGENT_PRIORITY): 20.0,
+            DemandKey(MODEL, LATER_PRIORITY): 80.0,
+        }
         self.peers.sum = Demand(rates, {})
         self.admission.refresh()
 
     async def admits(self, priority, **call):
-        """Tell whether a stream is admitted."""
+        """Return whether a stream is admitted."""
         try:
             await self.admission.admit("model", request(priority, **call))
         except NotAdmittedError:
             return False
         return True
 
-    async def path(self, find, priority=MOST, **call):
-        """Return the path of a first send."""
+    async def path(self, find, priority=URGENT_PRIORITY, **call):
+        """Return the path for a first send."""
         return await self.admission.path(
             "model", request(priority, **call), find, is_blocked=lambda _s: False
         )
 
 
 def request(priority, **call):
-    """Return a stream that asks to be started."""
+    """Return a request to start a stream."""
     made = make_call(**call)
     return StartRequest(made, priority, "clinic", 900.0, 0.5)
 
@@ -157,244 +164,251 @@
         ],
     )
     def test_mode_and_routes_decide(self, mode, routes, expected):
-        bench = Bench(desired_state(*routes), mode=mode)
-        assert bench.admission.is_governed("model") is expected
-        assert not bench.admission.is_governed("labels")
+        harness = AdmissionHarness(desired_state(*routes), mode=mode)
+        assert harness.admission.is_governed("model") is expected
+        assert not harness.admission.is_governed("labels")
 
     async def test_service_with_one_priority_is_served_as_before(self):
-        """No demand is sent, nothing waits and nothing is refused by it."""
-        bench = Bench(desired_state(URGENT))
-        bench.overload()
-        assert await bench.admits(LEAST)
-        assert bench.admission.demand() == NO_DEMAND
-        assert await bench.path(lambda: None) is None
-        assert bench.admission.retry_after_s("model", request(0), blocked_s=0) is None
-
-    async def test_waiting_streams_go_on_when_governing_ends(self):
-        bench = Bench()
-        bench.runners.first_fullness = 2.0
-        waiting = asyncio.create_task(bench.path(lambda: PATH))
+        """Guards against demand, waits or rejections for services not governed."""
+        harness = AdmissionHarness(desired_state(URGENT))
+        harness.overload()
+        assert await harness.admits(LATER_PRIORITY)
+        assert harness.admission.demand() == NO_DEMAND
+        assert await harness.path(lambda: None) is None
+        assert harness.admission.retry_after_s("model", request(0), blocked_s=0) is None
+
+    async def test_waiting_streams_finish_when_control_is_disabled(self):
+        harness = AdmissionHarness()
+        harness.runners.first_utilization = 2.0
+        waiting = asyncio.create_task(harness.path(lambda: PATH))
         await asyncio.sleep(0)
-        bench.admission.apply_settings(AdmissionSection(mode=AdmissionMode.OFF))
+        harness.admission.apply_settings(AdmissionSection(mode=AdmissionMode.OFF))
         async with asyncio.timeout(1):
             assert await waiting is PATH or waiting.result() is None
-        assert not bench.admission.is_governed("model")
+        assert not harness.admission.is_governed("model")
 
 
 class TestAdmission:
-    async def test_everything_is_admitted_while_there_is_room(self):
-        bench = Bench()
-        bench.admission.refresh()
-        assert all([await bench.admits(LEAST) for _ in range(20)])
-        assert bench.returns.slots == []
+    async def test_everything_is_admitted_with_free_capacity(self):
+        harness = AdmissionHarness()
+        harness.admission.refresh()
+        assert all([await harness.admits(LATER_PRIORITY) for _ in range(20)])
+        assert harness.retry_scheduler.slots == []
 
     async def test_less_urgent_streams_are_refused_first(self):
-        bench = Bench()
-        bench.overload()
-        assert all([await bench.admits(MOST) for _ in range(20)])
-        admitted = [await bench.admits(LEAST) for _ in range(50)]
+        harness = AdmissionHarness()
+        harness.overload()
+        assert all([await harness.admits(URGENT_PRIORITY) for _ in range(20)])
+        admitted = [await harness.admits(LATER_PRIORITY) for _ in range(50)]
         assert 0 < sum(admitted) < 40
 
-    async def test_priority_without_demand_yet_is_not_put_first(self):
-        """With no room, a priority that nobody had asked for was admitted whole."""
-        bench = Bench()
-        bench.runners.streams = 1000
-        bench.peers.sum = Demand({DemandKey(MODEL, MOST): 90.0}, {})
-        bench.admission.refresh()
-        assert not any([await bench.admits(LEAST) for _ in range(10)])
-
-    async def test_refusal_says_when_to_come_back(self):
-        """The time is a third of the caller's at the most."""
-        bench = Bench()
-        bench.overload()
+    async def test_priority_without_demand_is_not_preferred(self):
+        """Without capacity, a priority with no demand yet was admitted completely."""
+        harness = AdmissionHarness()
+        harness.runners.streams = 1000
+        harness.peers.sum = Demand({DemandKey(MODEL, URGENT_PRIORITY): 90.0}, {})
+        harness.admission.refresh()
+        assert not any([await harness.admits(LATER_PRIORITY) for _ in range(10)])
+
+    async def test_refusal_has_a_retry_delay(self):
+        """Guards against a delay above a third of the caller's remaining time."""
+        harness = AdmissionHarness()
+        harness.overload()
         for _ in range(20):
             try:
-                await bench.admission.admit("model", request(LEAST, timeout_s=3.0))
+                await harness.admission.admit(
+                    "model", request(LATER_PRIORITY, timeout_s=3.0)
+                )
             except NotAdmittedError as error:
                 assert error.ran == "no"
                 assert error.retry_after_s == pytest.approx(1.0, abs=0.05)
-        ((_, priority, starts_per_s, max_delay_s), *_) = bench.returns.slots
-        assert priority == LEAST
+        ((_, priority, starts_per_s, max_delay_s), *_) = harness.retry_scheduler.slots
+        assert priority == LATER_PRIORITY
         assert starts_per_s == FREE.starts_per_s / 8
         assert max_delay_s == pytest.approx(1.0, abs=0.05)
 
-    async def test_reserved_start_is_used_without_a_draw(self):
-        bench = Bench()
-        bench.overload()
-        bench.runners.streams = 1000  # nothing of the least urgent is admitted
-        bench.admission.refresh()
-        assert not await bench.admits(LEAST)
-        work = request(LEAST).work
-        bench.returns.claims[work] = Claim(ClaimOutcome.DUE, 0.0)
-        assert await bench.admits(LEAST)
-
-    async def test_early_return_is_told_the_same_time(self):
-        """Whoever doesn't wait gets neither a draw nor another reservation."""
-        bench = Bench()
-        bench.overload()
-        work = request(LEAST).work
-        bench.returns.claims[work] = Claim(ClaimOutcome.EARLY, 0.7)
+    async def test_reserved_start_is_always_admitted(self):
+        harness = AdmissionHarness()
+        harness.overload()
+        harness.runners.streams = 1000  # the least urgent streams are rejected
+        harness.admission.refresh()
+        assert not await harness.admits(LATER_PRIORITY)
+        work = request(LATER_PRIORITY).work_id
+        harness.retry_scheduler.claims[work] = Claim(ClaimOutcome.DUE, 0.0)
+        assert await harness.admits(LATER_PRIORITY)
+
+    async def test_early_retry_has_the_same_delay(self):
+        """Guards against early retries being admitted, or reserved another start."""
+        harness = AdmissionHarness()
+        harness.overload()
+        work = request(LATER_PRIORITY).work_id
+        harness.retry_scheduler.claims[work] = Claim(ClaimOutcome.EARLY, 0.7)
         for _ in range(20):
             with pytest.raises(NotAdmittedError) as caught:
-                await bench.admission.admit("model", request(LEAST))
+                await harness.admission.admit("model", request(LATER_PRIORITY))
             assert caught.value.retry_after_s == 0.7
-        assert bench.returns.slots == []
-
-    async def test_priority_without_offers_waits_for_its_level(self):
-        """The first streams of a route were admitted whole until the next plan."""
-        bench = Bench()
-        bench.runners.streams = 95
-        bench.peers.sum = Demand({DemandKey(MODEL, MOST): 200.0}, {})
-        bench.admission.refresh()
-        assert not any([await bench.admits(LEAST) for _ in range(20)])
-
-    async def test_outcomes_are_kept_for_their_span_only(self, monkeypatch):
-        """While sums came, each stream's outcome was kept until the process ended."""
-        bench = Bench()
+        assert harness.retry_scheduler.slots == []
+
+    async def test_priority_without_offers_is_limited_by_the_level(self):
+        """The first streams of a route were all admitted until the next plan."""
+        harness = AdmissionHarness()
+        harness.runners.streams = 95
+        harness.peers.sum = Demand({DemandKey(MODEL, URGENT_PRIORITY): 200.0}, {})
+        harness.admission.refresh()
+        assert not any([await harness.admits(LATER_PRIORITY) for _ in range(20)])
+
+    async def test_outcomes_expire(self, monkeypatch):
+        """While sums were available, outcomes accumulated until the process ended."""
+        harness = AdmissionHarness()
         now_s = clocks.now_s()
         for number in range(2000):
             monkeypatch.setattr(clocks, "now_s", lambda n=number: now_s + n / 100)
-            bench.admission.record_outcome("model", is_in_target=True)
-        assert len(bench.admission._services["model"]._outcomes) <= 201
-
-    async def test_reload_keeps_what_own_observations_have_reduced(self, monkeypatch):
-        """Any reload let the fallback begin anew at 0.95 of each priority."""
-        bench = Bench()
-        bench.peers.old_s = None
-        bench.peers.sum = Demand({DemandKey(MODEL, one): 9.0 for one in (0, 2)}, {})
+            harness.admission.record_outcome("model", is_in_target=True)
+        assert len(harness.admission._services["model"]._outcomes) <= 201
+
+    async def test_reload_keeps_fallback_fractions(self, monkeypatch):
+        """Each reload reset the fallback to 0.95 of each priority."""
+        harness = AdmissionHarness()
+        harness.peers.sum_age_s = None
+        harness.peers.sum = Demand({DemandKey(MODEL, key): 9.0 for key in (0, 2)}, {})
         now_s = clocks.now_s()
         for number in range(40):
             monkeypatch.setattr(clocks, "now_s", lambda n=number: now_s + n / 4)
             for _ in range(5):
-                bench.admission.record_outcome("model", is_in_target=False)
-            bench.admission.refresh()
-        before = bench.admission.states()["model"].plan.parts[LEAST]
+                harness.admission.record_outcome("model", is_in_target=False)
+            harness.admission.refresh()
+        before = harness.admission.states()["model"].plan.parts[LATER_PRIORITY]
         assert before == pytest.approx(0.2)
-        bench.admission.apply_settings(AdmissionSection(queue_requests=8))
-        bench.admission.refresh()
-        assert bench.admission.states()["model"].plan.parts[LEAST] == before
+        harness.admission.apply_settings(AdmissionSection(queue_requests=8))
+        harness.admission.refresh()
+        assert harness.admission.states()["model"].plan.parts[LATER_PRIORITY] == before
 
-    async def test_missing_sums_admit_neither_all_nor_nothing(self):
-        bench = Bench()
-        bench.peers.old_s = 5.0
+    async def test_missing_sums_admit_a_fraction(self):
+        harness = AdmissionHarness()
+        harness.peers.sum_age_s = 5.0
         for _ in range(20):
-            bench.admission.record_outcome("model", is_in_target=False)
+            harness.admission.record_outcome("model", is_in_target=False)
         for _ in range(60):
-            assert await bench.admits(LEAST)  # counted as demand
+            assert await harness.admits(LATER_PRIORITY)  # counted as demand
             break
         for _ in range(40):
-            bench.admission.refresh()
-        admitted = [await bench.admits(LEAST) for _ in range(100)]
-        assert all([await bench.admits(MOST) for _ in range(10)])
+            harness.admission.refresh()
+        admitted = [await harness.admits(LATER_PRIORITY) for _ in range(100)]
+        assert all([await harness.admits(URGENT_PRIORITY) for _ in range(10)])
         assert 10 <= sum(admitted) <= 100
 
-    async def test_unknown_runners_are_no_reason_to_refuse(self):
-        """A new instance refused all with 1207 until it had read its first list."""
-        bench = Bench()
-        bench.runners.now = NO_ROOM
-        bench.peers.sum = Demand({DemandKey(MODEL, LEAST): 80.0}, {})
-        bench.admission.refresh()
-        assert all([await bench.admits(LEAST) for _ in range(20)])
-        assert await bench.path(lambda: PATH) is PATH
-
-    async def test_targets_that_no_runner_meets_admit_neither_all_nor_nothing(self):
-        """Targets below what the engine can do are no room at all, late or not."""
-        bench = Bench()
-        bench.runners.now = NO_ROOM
-        rates = {DemandKey(MODEL, MOST): 20.0, DemandKey(MODEL, LEAST): 80.0}
-        bench.peers.sum = Demand(rates, {})
+    async def test_unknown_runners_cause_no_refusal(self):
+        """A new instance rejected requests with 1207 until it read its first list."""
+        harness = AdmissionHarness()
+        harness.runners.capacity = NO_ROOM
+        harness.peers.sum = Demand({DemandKey(MODEL, LATER_PRIORITY): 80.0}, {})
+        harness.admission.refresh()
+        assert all([await harness.admits(LATER_PRIORITY) for _ in range(20)])
+        assert await harness.path(lambda: PATH) is PATH
+
+    async def test_unreachable_targets_admit_a_fraction(self):
+        """Targets that the engine can't meet result in a capacity of 0."""
+        harness = AdmissionHarness()
+        harness.runners.capacity = NO_ROOM
+        rates = {
+            DemandKey(MODEL, URGENT_PRIORITY): 20.0,
+            DemandKey(MODEL, LATER_PRIORITY): 80.0,
+        }
+        harness.peers.sum = Demand(rates, {})
         for _ in range(20):
-            bench.admission.record_outcome("model", is_in_target=False)
-        bench.admission.refresh()
-        admitted = [await bench.admits(LEAST) for _ in range(100)]
-        assert all([await bench.admits(MOST) for _ in range(10)])
+            harness.admission.record_outcome("model", is_in_target=False)
+        harness.admission.refresh()
+        admitted = [await harness.admits(LATER_PRIORITY) for _ in range(100)]
+        assert all([await harness.admits(URGENT_PRIORITY) for _ in range(10)])
         assert 10 <= sum(admitted) <= 99
 
-    async def test_missing_sums_alone_refuse_nobody(self):
-        """One stream in twenty was refused at an instance that had just started."""
-        bench = Bench()
-        bench.peers.old_s = None
+    async def test_missing_sums_without_overload_cause_no_refusal(self):
+        """An instance that had just started rejected one stream in twenty."""
+        harness = AdmissionHarness()
+        harness.peers.sum_age_s = None
         for _ in range(20):
-            bench.admission.record_outcome("model", is_in_target=True)
-        bench.admission.refresh()
-        assert all([await bench.admits(LEAST) for _ in range(60)])
+            harness.admission.record_outcome("model", is_in_target=True)
+        harness.admission.refresh()
+        assert all([await harness.admits(LATER_PRIORITY) for _ in range(60)])
 
-    def test_suspended_instance_plans_anew_before_it_decides(self, monkeypatch):
-        """A plan that is 10 s old refused streams that had room."""
+    def test_resumed_instance_updates_its_plan_first(self, monkeypatch):
+        """A plan that was 10 s old rejected streams in spite of free capacity."""
 
         async def replay():
-            bench = Bench()
-            bench.overload()
-            bench.runners.streams = 0
-            bench.peers.sum = NO_DEMAND
+            harness = AdmissionHarness()
+            harness.overload()
+            harness.runners.streams = 0
+            harness.peers.sum = NO_DEMAND
             await asyncio.sleep(10)
-            return [await bench.admits(LEAST) for _ in range(20)]
+            return [await harness.admits(LATER_PRIORITY) for _ in range(20)]
 
         assert all(virtual_time.run(replay, monkeypatch))
 
-    async def test_running_streams_are_summed_beside_offers(self):
-        """Sums by server lag: with 449 streams running, instances knew of 77 to 250."""
-        bench = Bench()
+    async def test_running_streams_are_summed_with_offers(self):
+        """Sums by server lag: of 449 running streams, instances counted 77 to 250."""
+        harness = AdmissionHarness()
         for _ in range(3):
-            bench.admission.stream_started("model")
-        bench.admission.stream_finished("model")
+            harness.admission.stream_started("model")
+        harness.admission.stream_finished("model")
         running = DemandKey(MODEL, RUNNING)
-        assert bench.admission.demand().offers_per_s == {running: 2.0}
-        bench.peers.sum = Demand({running: 300.0}, {})
-        bench.admission.refresh()
-        state = bench.admission.states()["model"]
+        assert harness.admission.demand().offers_per_s == {running: 2.0}
+        harness.peers.sum = Demand({running: 300.0}, {})
+        harness.admission.refresh()
+        state = harness.admission.states()["model"]
         assert state.running == 302
-        assert bench.admission.dump()["model"]["demand_per_s"] == {}
+        assert harness.admission.dump()["model"]["demand_per_s"] == {}
 
 
 class TestWaiting:
-    def test_path_that_comes_soon_is_waited_for(self, monkeypatch):
+    def test_waits_for_a_path(self, monkeypatch):
         async def replay():
-            bench = Bench()
-            bench.admission.refresh()
+            harness = AdmissionHarness()
+            harness.admission.refresh()
             started_s = clocks.now_s()
             free_s = started_s + 0.06
-            path = await bench.path(lambda: PATH if clocks.now_s() >= free_s else None)
+            path = await harness.path(
+                lambda: PATH if clocks.now_s() >= free_s else None
+            )
             return path, clocks.now_s() - started_s
 
         path, waited_s = virtual_time.run(replay, monkeypatch)
         assert path is PATH
         assert 0.06 <= waited_s <= 0.09
 
-    def test_nobody_waits_longer_than_a_quarter_of_its_target(self, monkeypatch):
+    def test_wait_is_limited_to_a_quarter_of_the_target(self, monkeypatch):
         async def replay():
-            bench = Bench()
-            bench.admission.refresh()
+            harness = AdmissionHarness()
+            harness.admission.refresh()
             started_s = clocks.now_s()
-            path = await bench.path(lambda: None)
+            path = await harness.path(lambda: None)
             return path, clocks.now_s() - started_s
 
         path, waited_s = virtual_time.run(replay, monkeypatch)
         assert path is None
         assert waited_s <= 0.5 / 4 + 0.015
 
-    async def test_known_block_is_not_waited_for(self):
-        """A server's rest of seconds is no reason to hold a caller."""
-        bench = Bench()
-        bench.admission.refresh()
-        path = await bench.admission.path(
-            "model", request(MOST), lambda: None, is_blocked=lambda _s: True
+    async def test_blocked_stream_does_not_wait(self):
+        """A caller was delayed by a server's back-off of several seconds."""
+        harness = AdmissionHarness()
+        harness.admission.refresh()
+        path = await harness.admission.path(
+            "model", request(URGENT_PRIORITY), lambda: None, is_blocked=lambda _s: True
         )
         assert path is None
 
-    async def test_full_first_runner_is_no_room(self):
-        bench = Bench()
-        bench.admission.refresh()
-        bench.runners.first_fullness = 1.5
-        assert await bench.path(lambda: PATH) is None
-        bench.runners.first_fullness = 0.9
-        assert await bench.path(lambda: PATH) is PATH
+    async def test_full_first_runner_has_no_capacity(self):
+        harness = AdmissionHarness()
+        harness.admission.refresh()
+        harness.runners.first_utilization = 1.5
+        assert await harness.path(lambda: PATH) is None
+        harness.runners.first_utilization = 0.9
+        assert await harness.path(lambda: PATH) is PATH
 
     def test_urgent_streams_start_first(self, monkeypatch):
         async def replay():
-            bench = Bench()
-            bench.runners.now = FREE._replace(starts_per_s=800.0)
-            bench.admission.refresh()
+            harness = AdmissionHarness()
+            harness.runners.capacity = FREE._replace(starts_per_s=800.0)
+            harness.admission.refresh()
             free_s = clocks.now_s() + 0.05
             starts, order = [0], []
 
@@ -403,67 +417,78 @@
                 return PATH if is_free else None
 
             async def start(number, priority):
-                if await bench.path(find, priority, id=f"c{number}") is not None:
+                if await harness.path(find, priority, id=f"c{number}") is not None:
                     starts[0] += 1
                     order.append(priority)
 
-            priorities = [LEAST, LEAST, MOST, LEAST, MOST, MOST]
+            priorities = [
+                LATER_PRIORITY,
+                LATER_PRIORITY,
+                URGENT_PRIORITY,
+                LATER_PRIORITY,
+                URGENT_PRIORITY,
+                URGENT_PRIORITY,
+            ]
             await asyncio.gather(*(start(n, p) for n, p in enumerate(priorities)))
             return order
 
-        assert virtual_time.run(replay, monkeypatch) == [MOST] * 3
+        assert virtual_time.run(replay, monkeypatch) == [URGENT_PRIORITY] * 3
 
-    def test_failed_search_holds_nobody_else(self, monkeypatch):
-        """An error in one search ended the task that wakes and refuses all others."""
+    def test_failed_search_does_not_block_others(self, monkeypatch):
+        """An error in a path search terminated the task that processes the queue."""
 
         async def replay():
-            bench = Bench()
-            bench.admission.refresh()
-            began_s = clocks.now_s()
+            harness = AdmissionHarness()
+            harness.admission.refresh()
+            start_s = clocks.now_s()
 
             def fail():
-                if clocks.now_s() > began_s:
+                if clocks.now_s() > start_s:
                     raise RuntimeError("broken")
 
-            failing = asyncio.create_task(bench.path(fail, id="c1"))
+            failing = asyncio.create_task(harness.path(fail, id="c1"))
             await asyncio.sleep(0)
-            waiting = asyncio.create_task(bench.path(lambda: None, LEAST, id="c2"))
+            waiting = asyncio.create_task(
+                harness.path(lambda: None, LATER_PRIORITY, id="c2")
+            )
             done, pending = await asyncio.wait([failing, waiting], timeout=1.0)
-            for one in pending:
-                one.cancel()
-            return [one in done and one.exception() for one in (failing, waiting)]
+            for task in pending:
+                task.cancel()
+            return [task in done and task.exception() for task in (failing, waiting)]
 
         failure, others_failure = virtual_time.run(replay, monkeypatch)
         assert isinstance(failure, RuntimeError)
         assert others_failure is None
 
-    def test_room_for_longer_targets_refuses_nobody_early(self, monkeypatch):
-        """Urgent streams were refused at once where a later route's target had room."""
+    def test_capacity_for_longer_targets_causes_no_early_refusal(self, monkeypatch):
+        """Urgent streams were rejected immediately if only a longer target had room."""
 
         async def replay():
-            bench = Bench()
-            bench.runners.now = FREE._replace(starts_per_s=800.0)
-            bench.admission.refresh()
-            bench.runners.first_fullness = 1.5
-            began_s = clocks.now_s()
+            harness = AdmissionHarness()
+            harness.runners.capacity = FREE._replace(starts_per_s=800.0)
+            harness.admission.refresh()
+            harness.runners.first_utilization = 1.5
+            start_s = clocks.now_s()
 
             async def wait(priority, target_s):
-                one = request(priority, id=f"c{priority}")._replace(target_s=target_s)
-                path = await bench.admission.path(
-                    "model", one, lambda: PATH, is_blocked=lambda _s: False
+                start = request(priority, id=f"c{priority}")._replace(target_s=target_s)
+                path = await harness.admission.path(
+                    "model", start, lambda: PATH, is_blocked=lambda _s: False
                 )
-                return path, clocks.now_s() - began_s
+                return path, clocks.now_s() - start_s
 
-            later = asyncio.create_task(wait(LEAST, 1.0))
+            later = asyncio.create_task(wait(LATER_PRIORITY, 1.0))
             await asyncio.sleep(0)
-            urgent = asyncio.create_task(wait(MOST, 0.5))
+            urgent = asyncio.create_task(wait(URGENT_PRIORITY, 0.5))
             await asyncio.sleep(0.03)
-            bench.runners.first_fullness = 1.2  # room within 1 s, but not within 0.5 s
+            harness.runners.first_utilization = (
+                1.2  # room within 1 s, but not within 0.5 s
+            )
             await asyncio.sleep(0.03)
-            # The place that comes free is not for the less urgent one.
+            # The free capacity is reserved for the more urgent stream.
             assert not urgent.done()
             assert not later.done()
-            bench.runners.first_fullness = 0.9
+            harness.runners.first_utilization = 0.9
             return await urgent, await later
 
         (urgent, waited_s), (later, _) = virtual_time.run(replay, monkeypatch)
@@ -471,17 +496,19 @@
         assert later is PATH
         assert waited_s <= 0.09
 
-    def test_stream_without_a_path_holds_no_other_priority(self, monkeypatch):
-        """Limits of servers may leave paths to the more urgent streams only."""
+    def test_stream_without_a_path_does_not_block_priorities(self, monkeypatch):
+        """Server limits may permit paths for more urgent streams only."""
 
         async def replay():
-            bench = Bench()
-            bench.runners.now = FREE._replace(starts_per_s=800.0)
-            bench.admission.refresh()
+            harness = AdmissionHarness()
+            harness.runners.capacity = FREE._replace(starts_per_s=800.0)
+            harness.admission.refresh()
             free_s = clocks.now_s() + 0.03
-            later = asyncio.create_task(bench.path(lambda: None, LEAST, id="c1"))
+            later = asyncio.create_task(
+                harness.path(lambda: None, LATER_PRIORITY, id="c1")
+            )
             await asyncio.sleep(0)
-            path = await bench.path(
+            path = await harness.path(
                 lambda: PATH if clocks.now_s() >= free_s else None, id="c2"
             )
             return path, await later
@@ -490,30 +517,30 @@
         assert path is PATH
         assert later is None
 
-    async def test_call_of_an_id_that_was_just_woken_is_answered(self):
-        """The first one's clean-up took its place: it was never answered."""
-        bench = Bench()
-        bench.admission.refresh()
-        first = asyncio.create_task(bench.path(lambda: None))
+    async def test_reused_call_id_is_answered(self):
+        """The first call's clean-up removed the second, which was never answered."""
+        harness = AdmissionHarness()
+        harness.admission.refresh()
+        first = asyncio.create_task(harness.path(lambda: None))
         await asyncio.sleep(0)
-        governed = bench.admission._services["model"]
-        second = asyncio.create_task(bench.path(lambda: None))
-        governed._give_up(governed._queue.expire(now_s=clocks.now_s() + 1.0))
+        service = harness.admission._services["model"]
+        second = asyncio.create_task(harness.path(lambda: None))
+        service._finish_without_path(service._queue.expire(now_s=clocks.now_s() + 1.0))
         await asyncio.wait([first, second], timeout=1.0)
         assert second.done()
 
-    async def test_reserved_start_goes_ahead_of_the_queue(self):
-        """A caller who had come back in time was refused behind those that waited."""
-        bench = Bench()
-        bench.overload()
-        waiting = asyncio.create_task(bench.path(lambda: None, id="c1"))
+    async def test_reserved_start_precedes_the_queue(self):
+        """A caller that retried in time was rejected behind waiting streams."""
+        harness = AdmissionHarness()
+        harness.overload()
+        waiting = asyncio.create_task(harness.path(lambda: None, id="c1"))
         await asyncio.sleep(0)
-        one = request(LEAST, id="c2")
-        bench.returns.claims[one.work] = Claim(ClaimOutcome.DUE, 0.0)
-        is_reserved = await bench.admission.admit("model", one)
-        path = await bench.admission.path(
+        start = request(LATER_PRIORITY, id="c2")
+        harness.retry_scheduler.claims[start.work_id] = Claim(ClaimOutcome.DUE, 0.0)
+        is_reserved = await harness.admission.admit("model", start)
+        path = await harness.admission.path(
             "model",
-            one,
+            start,
             lambda: PATH,
             is_blocked=lambda _s: False,
             is_reserved=is_reserved,
@@ -523,55 +550,58 @@
         assert not waiting.done()
         assert await waiting is None
 
-    async def test_known_block_is_not_waited_for_behind_others(self):
-        """Callers were held for what could not be served if others waited already."""
-        bench = Bench()
-        bench.runners.now = FREE._replace(starts_per_s=800.0)
-        bench.admission.refresh()
-        waiting = asyncio.create_task(bench.path(lambda: None, id="c1"))
+    async def test_blocked_stream_does_not_wait_behind_others(self):
+        """With a queue, blocked callers were delayed although they had no path."""
+        harness = AdmissionHarness()
+        harness.runners.capacity = FREE._replace(starts_per_s=800.0)
+        harness.admission.refresh()
+        waiting = asyncio.create_task(harness.path(lambda: None, id="c1"))
         await asyncio.sleep(0)
-        began_s = clocks.now_s()
-        path = await bench.admission.path(
-            "model", request(MOST, id="c2"), lambda: None, is_blocked=lambda _s: True
+        start_s = clocks.now_s()
+        path = await harness.admission.path(
+            "model",
+            request(URGENT_PRIORITY, id="c2"),
+            lambda: None,
+            is_blocked=lambda _s: True,
         )
         assert path is None
-        assert clocks.now_s() - began_s < 0.05
+        assert clocks.now_s() - start_s < 0.05
         assert await waiting is None
 
-    def test_smaller_queue_refuses_what_no_longer_fits(self, monkeypatch):
+    def test_reduced_queue_rejects_excess_streams(self, monkeypatch):
         async def replay():
-            bench = Bench()
-            bench.admission.refresh()
+            harness = AdmissionHarness()
+            harness.admission.refresh()
             waits = [
-                asyncio.create_task(bench.path(lambda: None, id=f"c{n}"))
+                asyncio.create_task(harness.path(lambda: None, id=f"c{n}"))
                 for n in range(4)
             ]
             await asyncio.sleep(0.01)
-            bench.admission.apply_settings(AdmissionSection(queue_requests=1))
+            harness.admission.apply_settings(AdmissionSection(queue_requests=1))
             await asyncio.sleep(0.001)
-            return [one.done() for one in waits]
+            return [task.done() for task in waits]
 
         assert sum(virtual_time.run(replay, monkeypatch)) == 3
 
-    async def test_caller_that_leaves_gives_its_place_up(self):
-        bench = Bench()
-        bench.admission.refresh()
-        waiting = asyncio.create_task(bench.path(lambda: None))
+    async def test_disconnected_caller_is_removed_from_the_queue(self):
+        harness = AdmissionHarness()
+        harness.admission.refresh()
+        waiting = asyncio.create_task(harness.path(lambda: None))
         await asyncio.sleep(0.02)
         waiting.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiting
-        assert bench.admission.states()["model"].waiting == 0
+        assert harness.admission.states()["model"].waiting == 0
 
 
 def overloaded(client):
-    """Return the views of a full instance, and a call of the least urgent route."""
+    """Return the routing of a full instance, and a call of the least urgent route."""
     routing = make_routing(client, runner("a", 0, 80), rng=random.Random(1))
     routing.admission.apply_desired_state(STATE)
     routing.admission.capacity = runners = Runners()
     runners.streams = 1000
     routing.admission.peers = peers = Peers()
-    peers.sum = Demand({DemandKey(MODEL, LEAST): 90.0}, {})
+    peers.sum = Demand({DemandKey(MODEL, LATER_PRIORITY): 90.0}, {})
     routing.admission.refresh()
     admitted = STATE.admit(
         host="menu.example", path="/later/1", key="key-1", call_id="c1"
@@ -580,7 +610,7 @@
 
 
 class TestStreams:
-    async def test_refused_stream_is_sent_to_nobody(self):
+    async def test_refused_stream_is_not_sent(self):
         client = FakeClient(FakeAnswer(events(1)))
         routing, admitted = overloaded(client)
         call = make_call(path="/later/1")
@@ -588,8 +618,8 @@
             await StreamCall(routing, call, admitted).serve(FakeResponder())
         assert client.sends == []
 
-    async def test_resumed_stream_goes_on(self):
-        """What has begun isn't refused for want of room."""
+    async def test_resumed_stream_continues(self):
+        """Guards against rejections of resumed streams under overload."""
         client = FakeClient(FakeAnswer(events(8)))
         routing, admitted = overloaded(client)
         call = make_call(path="/later/1", last_event_id=7)
@@ -600,7 +630,7 @@
     async def test_no_path_reserves_a_start(self):
         routing = make_routing(FakeClient(), rng=random.Random(1))
         routing.admission.apply_desired_state(STATE)
-        routing.admission.returns = returns = Returns()
+        routing.admission.returns = scheduler = FakeRetryScheduler()
         admitted = STATE.admit(
             host="menu.example", path="/urgent/1", key="key-1", call_id="c1"
         )
@@ -609,38 +639,47 @@
             await StreamCall(routing, call, admitted).serve(FakeResponder())
         assert caught.value.code == 1201
         assert caught.value.retry_after_s == pytest.approx(1.0, abs=0.1)
-        assert len(returns.slots) == 1
+        assert len(scheduler.slots) == 1
 
     async def test_start_reserved_without_a_path_is_logged(self, monkeypatch):
-        """Guards against a refusal whose reservation no line tells of."""
-        seen = []
+        """Guards against a reservation that is not logged."""
+        logged = []
         monkeypatch.setattr(
-            _governed_service.events,
+            _service_admission.events,
             "log",
-            lambda event, **fields: seen.append((event, fields)),
+            lambda event, **fields: logged.append((event, fields)),
+        )
+        harness = AdmissionHarness()
+        retry_s = harness.admission.retry_after_s(
+            "model", request(URGENT_PRIORITY), blocked_s=0.2
         )
-        bench = Bench()
-        told_s = bench.admission.retry_after_s("model", request(MOST), blocked_s=0.2)
-        [(event, fields)] = seen
+        [(event, fields)] = logged
         assert event.number == 2223
-        assert fields["left_s"] == pytest.approx(told_s, abs=0.01)
-        assert (fields["priority"], fields["reason"]) == (MOST, "no_path")
+        assert fields["left_s"] == pytest.approx(retry_s, abs=0.01)
+        assert (fields["priority"], fields["reason"]) == (URGENT_PRIORITY, "no_path")
         assert fields["workspace"] == "clinic"
 
 
 class TestDump:
     def test_overload_can_be_previewed(self):
-        """Guards against a dump that the preview can't read, or reads otherwise."""
-        bench = Bench()
-        bench.overload()
+        """Guards against a dump that the preview can't parse, or misinterprets."""
+        harness = AdmissionHarness()
+        harness.overload()
         state = {
-            "admission": bench.admission.dump(),
-            "admission_settings": bench.admission.section._asdict(),
+            "admission": harness.admission.dump(),
+            "admission_settings": harness.admission.section._asdict(),
         }
         dump = parse_state(msgspec.json.encode(state))
         [service] = preview(dump, active_section(dump))
-        assert service.level == bench.admission.states()["model"].plan.level == LEAST
-        assert [one.priority for one in service.priorities] == [MOST, LEAST]
+        assert (
+            service.level
+            == harness.admission.states()["model"].plan.level
+            == LATER_PRIORITY
+        )
+        assert [row.priority for row in service.priorities] == [
+            URGENT_PRIORITY,
+            LATER_PRIORITY,
+        ]
         assert service.priorities[0].refused_per_s == 0.0
         assert 0.0 < service.priorities[1].refused_per_s <= 80.0
         assert dump["admission"]["model"]["route_priorities"] == [0, 2]
--- a/tests/test_admission_plan.py
+++ b/tests/test_admission_plan.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Admission plans, replayed over instances that share a service under overload."""
+"""Simulations of admission plans at instances that share an overloaded service."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from hypothesis import strategies as st
 
 from violethatch.admission_plan import (
-    EQUAL,
-    OPEN,
+    EQUAL_WEIGHTS,
+    UNLIMITED,
     Admitter,
     Plan,
     Planner,
@@ -30,21 +30,22 @@
 from violethatch.load_sums import server_number
 
 
-#: Fleet A: starts per second planned and demanded, and the duration of a stream: a
-#: usual answer of the engine in `routing_samples.py` takes 4.7 s on its medium runners
-#: with 96 writers.  Shorter streams make the same surge fill more of the room before
-#: sums show it.
+#: Fleet A: the capacity and demand in starts per second, and the duration of a stream.
+#: A typical response of the engine in `routing_samples.py` takes 4.7 s on its medium
+#: runners with a batch of 96.  With shorter streams, the same surge fills more of the
+#: room before the sums include it.
 CAPACITY_PER_S, DEMAND_PER_S, STREAM_S = 326.0, 145.0, 5.0
 WORKSPACES = [server_number(f"workspace-{n}") for n in range(24)]
 _SKEW = [(n + 1) ** -1.2 for n in range(24)]
-#: By workspace, its part of the demand; and by priority.
-WORKSPACE_PARTS = {
-    one: skew / sum(_SKEW) for one, skew in zip(WORKSPACES, _SKEW, strict=True)
+#: The fraction of the demand by workspace, and by priority.
+WORKSPACE_FRACTIONS = {
+    workspace: skew / sum(_SKEW)
+    for workspace, skew in zip(WORKSPACES, _SKEW, strict=True)
 }
-PRIORITY_PARTS = {0: 0.3, 1: 0.3, 2: 0.4}
-TICK_S, PLAN_S, LOSS_KNOWN_S = 0.05, 0.25, 0.5
-#: Fleet sizes and seeds, in parts of a few seconds: 350 instances take 1 s per replay,
-#: so that only 2 of the 50 seeds keep the file below 30 s.
+PRIORITY_FRACTIONS = {0: 0.3, 1: 0.3, 2: 0.4}
+STEP_S, PLAN_INTERVAL_S, LOSS_DETECTION_S = 0.05, 0.25, 0.5
+#: Fleet sizes and seeds, in groups that run for a few seconds: 350 instances take 1 s
+#: per simulation, so only 2 of the 50 seeds are used to keep the file below 30 s.
 FLEETS = [
     pytest.param(8, range(50), id="8"),
     pytest.param(72, range(25), id="72a"),
@@ -54,7 +55,7 @@
 
 
 class Surge(NamedTuple):
-    """Some requests come at a multiple of their rate for a while."""
+    """A temporary multiple of the request rate of a priority or workspace."""
 
     factor: float
     from_s: float
@@ -64,24 +65,24 @@
 
 
 class Load(NamedTuple):
-    """What a replay offers, and when a part of the capacity is lost."""
+    """The load of a simulation, and the time at which capacity is lost."""
 
     surges: tuple[Surge, ...] = ()
     length_s: float = 14.0
     loss_s: float = 1.0
-    left_part: float = 0.5
-    #: Each priority's part of the demand.
-    priorities: tuple[tuple[int, float], ...] = tuple(PRIORITY_PARTS.items())
-    #: At this time a priority turns into another one.
+    remaining_fraction: float = 0.5
+    #: The fraction of the demand by priority.
+    priorities: tuple[tuple[int, float], ...] = tuple(PRIORITY_FRACTIONS.items())
+    #: A change of a priority: the time, the old and the new value.
     turn: tuple[float, int, int] | None = None
-    #: An instance that sleeps, from when and until when.
-    sleep: tuple[float, float] | None = None
-    #: From when on sums come 2 s late or later.
-    late_s: float | None = None
+    #: The start and end of a pause of one instance.
+    pause: tuple[float, float] | None = None
+    #: The time from which sums are delayed by 2 s or more.
+    delayed_from_s: float | None = None
 
     def room(self, at_s):
-        """Return the room at a time."""
-        part = self.left_part if at_s >= self.loss_s else 1.0
+        """Return the capacity at a time."""
+        part = self.remaining_fraction if at_s >= self.loss_s else 1.0
         per_s = part * CAPACITY_PER_S
         return Room(per_s * STREAM_S, per_s, 40.0 * per_s, STREAM_S)
 
@@ -90,34 +91,37 @@
     at_s: float
     priority: int
     workspace: int
-    #: 0 to 1: which instance reads it.
-    where: float
+    #: The receiving instance, as a fraction of the instances, 0 to 1.
+    position: float
 
 
 @functools.lru_cache(maxsize=4)
 def requests(load, seed):
-    """Return the requests of a load; a surge adds some and moves none."""
-    made = []
-    keys = itertools.product(load.priorities, WORKSPACE_PARTS.items())
+    """Return the requests of a load; a surge adds requests and moves no others."""
+    arrivals = []
+    keys = itertools.product(load.priorities, WORKSPACE_FRACTIONS.items())
     for (priority, part), (workspace, share) in keys:
         rate = DEMAND_PER_S * part * share
-        spans = [(rate, 0.0, load.length_s)] + [
-            (rate * (one.factor - 1.0), one.from_s, one.until_s)
-            for one in load.surges
-            if one.priority in (None, priority) and one.workspace in (None, workspace)
+        rate_spans = [(rate, 0.0, load.length_s)] + [
+            (rate * (surge.factor - 1.0), surge.from_s, surge.until_s)
+            for surge in load.surges
+            if surge.priority in (None, priority)
+            and surge.workspace in (None, workspace)
         ]
-        for n, (per_s, at_s, until_s) in enumerate(spans):
+        for n, (per_s, at_s, until_s) in enumerate(rate_spans):
             rng = random.Random(f"{seed} {priority} {workspace} {n}")
             while (at_s := at_s + rng.expovariate(per_s)) < until_s:
-                shown = priority
+                request_priority = priority
                 if load.turn and at_s >= load.turn[0] and priority == load.turn[1]:
-                    shown = load.turn[2]
-                made.append(Request(at_s, shown, workspace, rng.random()))
-    return sorted(made)
+                    request_priority = load.turn[2]
+                arrivals.append(
+                    Request(at_s, request_priority, workspace, rng.random())
+                )
+    return sorted(arrivals)
 
 
 class Sums(NamedTuple):
-    """What a sum over all instances says of one moment."""
+    """The sums over the instances at one time."""
 
     demand: dict[int, float]
     heaviest: dict[tuple[int, int], float]
@@ -125,27 +129,27 @@
 
 
 class Instance:
-    """An instance with its own plan, which hears of sums at its own delay."""
+    """An instance with its own planner and its own delay of the sums."""
 
     def __init__(self, number, count, rng):
-        self.planner = Planner(policy=EQUAL)
+        self.planner = Planner(policy=EQUAL_WEIGHTS)
         self.admitter = Admitter(phase=number / count)
         self.rng = rng
-        self.next_s = rng.uniform(0.0, PLAN_S)
+        self.next_s = rng.uniform(0.0, PLAN_INTERVAL_S)
         self.age_s = rng.uniform(0.35, 0.75)
-        self.plan, self.heaviest = OPEN, {}
+        self.plan, self.heaviest = UNLIMITED, {}
         self.changes_s = []
         self.in_target = collections.deque([True], maxlen=20)
 
     def refresh(self, load, sums, now_s):
-        """Make the next plan."""
-        self.next_s += PLAN_S
+        """Compute the next plan."""
+        self.next_s += PLAN_INTERVAL_S
         age_s = self.age_s + self.rng.uniform(-0.05, 0.05)
-        if load.late_s is not None and now_s >= load.late_s:
+        if load.delayed_from_s is not None and now_s >= load.delayed_from_s:
             age_s += 1.7
-        heard = sums[max(0, len(sums) - 1 - round(age_s / TICK_S))]
+        reported = sums[max(0, len(sums) - 1 - round(age_s / STEP_S))]
         error = 1.0 + self.rng.uniform(-0.02, 0.02)
-        demand = {one: rate * error for one, rate in heard.demand.items()}
+        demand = {key: rate * error for key, rate in reported.demand.items()}
         level = self.plan.level
         if age_s > 2.0:
             part = sum(self.in_target) / len(self.in_target)
@@ -153,12 +157,12 @@
                 demand, in_target_part=part, now_s=now_s
             )
         else:
-            self.heaviest = heard.heaviest
+            self.heaviest = reported.heaviest
             self.plan = self.planner.plan(
                 demand,
-                heard.heaviest,
-                load.room(now_s - LOSS_KNOWN_S),
-                heard.running * error,
+                reported.heaviest,
+                load.room(now_s - LOSS_DETECTION_S),
+                reported.running * error,
                 age_s=age_s,
                 now_s=now_s,
             )
@@ -167,17 +171,17 @@
 
 
 class Outcome(NamedTuple):
-    #: Requests that were served within target, all that were admitted, and all.
+    #: The requests served within target, the admitted requests, and all requests.
     served: list[Request]
     admitted: list[Request]
     offered: list[Request]
-    #: Running streams as a part of the room, at each tick.
-    fills: list[float]
+    #: The utilization at each tick.
+    utilizations: list[float]
     instances: list[Instance]
 
 
-def measured(counts, running):
-    """Return the sums of one moment, by the counts of the last second."""
+def make_sums(counts, running):
+    """Return the sums for the request counts of the last second."""
     demand = {}
     for (priority, _), count in counts.items():
         demand[priority] = demand.get(priority, 0) + count
@@ -185,145 +189,156 @@
     return Sums(demand, {key: count for key, count in heaviest if count}, running)
 
 
-def replay(load, count, seed):
-    """Replay a load over instances, or with perfect information if there are none.
+def simulate(load, count, seed):
+    """Simulate a load over instances, or with perfect information without instances.
 
-    A stream runs for `STREAM_S` and is within target if it finds room at its start.
+    A stream runs for `STREAM_S` and is within target if capacity is free at its start.
     """
     rng = random.Random(seed)
     instances = [Instance(n, count, rng) for n in range(count)]
     offered = requests(load, seed)
-    times_s = [one.at_s for one in offered]
-    ends_s = collections.deque(
+    times_s = [request.at_s for request in offered]
+    completion_times_s = collections.deque(
         sorted(rng.uniform(0.0, STREAM_S) for _ in range(int(DEMAND_PER_S * STREAM_S)))
     )
-    sums, served, admitted, fills = [], [], [], []
-    keys = [(one.priority, one.workspace) for one in offered]
-    # Before the replay there is the usual demand, that of its first second.
-    done = oldest = 0
+    sums, served, admitted, utilizations = [], [], [], []
+    keys = [(request.priority, request.workspace) for request in offered]
+    # Before the simulation, the demand equals that of its first second.
+    next_request = oldest_counted = 0
     counts = collections.Counter(keys[: bisect.bisect(times_s, 1.0)])
-    for tick in range(int(load.length_s / TICK_S)):
-        now_s = tick * TICK_S
-        while ends_s and ends_s[0] <= now_s:
-            ends_s.popleft()
+    for tick in range(int(load.length_s / STEP_S)):
+        now_s = tick * STEP_S
+        while completion_times_s and completion_times_s[0] <= now_s:
+            completion_times_s.popleft()
         room = load.room(now_s).streams
-        while now_s >= 1.0 and times_s[oldest] < now_s - 1.0:
-            counts[keys[oldest]] -= 1
-            oldest += 1
+        while now_s >= 1.0 and times_s[oldest_counted] < now_s - 1.0:
+            counts[keys[oldest_counted]] -= 1
+            oldest_counted += 1
         if instances:
-            sums.append(measured(counts, len(ends_s)))
-        is_asleep = load.sleep is not None and load.sleep[0] <= now_s < load.sleep[1]
-        for number, one in enumerate(instances):
-            if number == 0 and is_asleep:
+            sums.append(make_sums(counts, len(completion_times_s)))
+        is_paused = load.pause is not None and load.pause[0] <= now_s < load.pause[1]
+        for number, instance in enumerate(instances):
+            if number == 0 and is_paused:
                 continue
-            if one.next_s <= now_s:
-                one.next_s = max(one.next_s, now_s - PLAN_S)
-                one.refresh(load, sums, now_s)
-        until = bisect.bisect(times_s, now_s + TICK_S, lo=done)
-        arrived = offered[done:until]
+            if instance.next_s <= now_s:
+                instance.next_s = max(instance.next_s, now_s - PLAN_INTERVAL_S)
+                instance.refresh(load, sums, now_s)
+        end = bisect.bisect(times_s, now_s + STEP_S, lo=next_request)
+        arrived = offered[next_request:end]
         if now_s >= 1.0:
-            counts.update(keys[done:until])
-        done = until
+            counts.update(keys[next_request:end])
+        next_request = end
         if not instances:
-            arrived.sort(key=lambda one: one.priority)
-            free = max(0, int(room) - len(ends_s))
+            arrived.sort(key=lambda request: request.priority)
+            free = max(0, int(room) - len(completion_times_s))
             served += arrived[:free]
-            ends_s.extend([now_s + STREAM_S] * len(arrived[:free]))
-        for one in arrived if instances else ():
-            at = instances[int(one.where * count) or int(is_asleep)]
-            per_s = at.heaviest.get((one.priority, one.workspace))
-            if at.admitter.admits(
-                at.plan, one.priority, one.workspace, workspace_offers_per_s=per_s
+            completion_times_s.extend([now_s + STREAM_S] * len(arrived[:free]))
+        for request in arrived if instances else ():
+            receiver = instances[int(request.position * count) or int(is_paused)]
+            per_s = receiver.heaviest.get((request.priority, request.workspace))
+            if receiver.admitter.admits(
+                receiver.plan,
+                request.priority,
+                request.workspace,
+                workspace_offers_per_s=per_s,
             ):
-                ends_s.append(now_s + STREAM_S)
-                admitted.append(one)
-                at.in_target.append(len(ends_s) <= room)
-                if len(ends_s) <= room:
-                    served.append(one)
-        fills.append(len(ends_s) / room)
-    return Outcome(served, admitted, offered, fills, instances)
+                completion_times_s.append(now_s + STREAM_S)
+                admitted.append(request)
+                receiver.in_target.append(len(completion_times_s) <= room)
+                if len(completion_times_s) <= room:
+                    served.append(request)
+        utilizations.append(len(completion_times_s) / room)
+    return Outcome(served, admitted, offered, utilizations, instances)
 
 
-def within(made, from_s, until_s):
-    """Return the requests of a span."""
-    return [one for one in made if from_s <= one.at_s < until_s]
+def requests_between(arrivals, from_s, until_s):
+    """Return the requests of a time window."""
+    return [request for request in arrivals if from_s <= request.at_s < until_s]
 
 
-def spans(made, length_s, load):
-    """Return the counts by workspace of each span; two begin in each second."""
-    halves = collections.defaultdict(collections.Counter)
-    for one in made:
-        halves[int(2.0 * one.at_s)][one.workspace] += 1
+def window_counts(arrivals, length_s, load):
+    """Return the counts by workspace of overlapping windows, at intervals of 0.5 s."""
+    half_second_counts = collections.defaultdict(collections.Counter)
+    for request in arrivals:
+        half_second_counts[int(2.0 * request.at_s)][request.workspace] += 1
     width = int(2.0 * length_s)
     return [
-        sum((halves[n] for n in range(start, start + width)), collections.Counter())
+        sum(
+            (half_second_counts[n] for n in range(start, start + width)),
+            collections.Counter(),
+        )
         for start in range(int(2.0 * load.length_s) - width + 1)
     ]
 
 
-def least_urgent_part(outcome, perfect, load):
-    """Return the least part, in 2 s, of the most urgent streams that fit."""
-    fit, got = (
+def min_urgent_fraction(outcome, perfect, load):
+    """Return the min fraction served, in windows of 2 s, of the servable priority 0."""
+    servable, served = (
         [
-            one.total()
-            for one in spans([one for one in made if one.priority == 0], 2.0, load)
+            counter.total()
+            for counter in window_counts(
+                [request for request in arrivals if request.priority == 0], 2.0, load
+            )
         ]
-        for made in (perfect.served, outcome.served)
+        for arrivals in (perfect.served, outcome.served)
     )
-    return min(b / a if a else 1.0 for a, b in zip(fit, got, strict=True))
+    return min(b / a if a else 1.0 for a, b in zip(servable, served, strict=True))
 
 
-def most_changes(outcome):
-    """Return the most changes of level that one instance made within a second."""
+def max_level_changes(outcome):
+    """Return the max number of level changes at an instance within a second."""
     return max(
-        sum(at_s <= one < at_s + 1.0 - 1e-9 for one in instance.changes_s)
+        sum(at_s <= time_s < at_s + 1.0 - 1e-9 for time_s in instance.changes_s)
         for instance in outcome.instances
         for at_s in [*instance.changes_s, 0.0]
     )
 
 
-def admission(factor):
-    """Return the load of the row: the least urgent first, then the most urgent."""
+def admission_load(factor):
+    """Return a load in which the least urgent, then the most urgent priority surges."""
     low, high = (2.4, 1.9) if factor == 1 else (factor, factor)
     return Load((Surge(low, 2.0, 7.0, priority=2), Surge(high, 7.0, 10.0, priority=0)))
 
 
-def max_min(offers, total):
-    """Return what each gets of a total, by max-min fairness."""
-    got, left = {}, total
-    for n, (one, rate) in enumerate(sorted(offers.items(), key=lambda item: item[1])):
-        got[one] = min(rate, left / (len(offers) - n))
-        left -= got[one]
-    return got
+def max_min_shares(offers, total):
+    """Return the max-min fair shares of a total."""
+    shares, remaining = {}, total
+    for n, (key, rate) in enumerate(sorted(offers.items(), key=lambda item: item[1])):
+        shares[key] = min(rate, remaining / (len(offers) - n))
+        remaining -= shares[key]
+    return shares
 
 
-def assert_bounds(load, count, seeds, *, figures, bounds):
-    """Check all seeds; name for each figure out of bounds how often, and the worst.
+def assert_bounds(load, count, seeds, *, measure, bounds):
+    """Check all seeds; report the count and worst value of each violated bound.
 
-    A bound is the least allowed, or the most if it is negated.
+    A bound is a minimum, or a maximum if it is negated.
     """
-    seen = {seed: figures(load, count, seed) for seed in seeds}
-    broken = {}
+    results = {seed: measure(load, count, seed) for seed in seeds}
+    violations = {}
     for name, bound in bounds.items():
         signed = {
-            seed: one[name] if bound > 0 else -one[name] for seed, one in seen.items()
+            seed: result[name] if bound > 0 else -result[name]
+            for seed, result in results.items()
         }
         worst = min(signed, key=signed.__getitem__)
         print(name, count, f"worst {abs(signed[worst]):.3f} at seed {worst}")
-        out = sum(one < bound for one in signed.values())
-        if out:
-            broken[name] = f"{out}/{len(seen)} seeds, {signed[worst]:.3f} at {worst}"
-    assert not broken, broken
+        violated = sum(value < bound for value in signed.values())
+        if violated:
+            violations[name] = (
+                f"{violated}/{len(results)} seeds, {signed[worst]:.3f} at {worst}"
+            )
+    assert not violations, violations
 
 
-def priority_figures(load, count, seed):
-    """Return the figures of the row *admission* for one seed."""
-    outcome, perfect = replay(load, count, seed), replay(load, 0, seed)
+def measure_priorities(load, count, seed):
+    """Return the results of the scenario *admission* for one seed."""
+    outcome, perfect = simulate(load, count, seed), simulate(load, 0, seed)
     return {
-        "urgent": least_urgent_part(outcome, perfect, load),
+        "urgent": min_urgent_fraction(outcome, perfect, load),
         "total": len(outcome.served) / len(perfect.served),
-        "fill": max(outcome.fills),
-        "changes": most_changes(outcome),
+        "fill": max(outcome.utilizations),
+        "changes": max_level_changes(outcome),
     }
 
 
@@ -331,64 +346,64 @@
 
 
 class TestPriorities:
-    """The row *admission*: urgent streams first, the room neither full nor unused."""
+    """The scenario *admission*: strict priority without overload or idle capacity."""
 
     @pytest.mark.parametrize(("count", "seeds"), FLEETS)
     @pytest.mark.parametrize("factor", [1, 3, 10])
     def test_row(self, factor, count, seeds):
-        """Late sums let in too much, or refuse urgent streams for others."""
+        """Delayed sums cause overload, or rejections of urgent streams."""
         assert_bounds(
-            admission(factor),
+            admission_load(factor),
             count,
             seeds,
-            figures=priority_figures,
+            measure=measure_priorities,
             bounds=PRIORITY_BOUNDS,
         )
 
     @pytest.mark.parametrize("turned", [(5.0, 1, 4), (5.0, 2, 3)])
     def test_priorities_that_change_under_load(self, turned):
-        """A priority that no plan knows yet is admitted whole beside a full room."""
-        load = admission(1)._replace(turn=turned)
+        """A priority absent from the plan is admitted completely under overload."""
+        load = admission_load(1)._replace(turn=turned)
         assert_bounds(
-            load, 8, range(50), figures=priority_figures, bounds=PRIORITY_BOUNDS
+            load, 8, range(50), measure=measure_priorities, bounds=PRIORITY_BOUNDS
         )
 
 
-def workspace_figures(load, count, seed):
-    """Return the figures of the row *workspaces* for one seed, of which one surges."""
+def measure_workspaces(load, count, seed):
+    """Return the results of the scenario *workspaces*, a surge of one workspace."""
     heavy = random.Random(seed).choice(WORKSPACES)
     surge = load._replace(surges=(Surge(20.0, 3.0, 9.0, workspace=heavy),))
-    outcome, perfect = replay(surge, count, seed), replay(surge, 0, seed)
-    usual = replay(load, count, seed)
+    outcome, perfect = simulate(surge, count, seed), simulate(surge, 0, seed)
+    usual = simulate(load, count, seed)
 
-    def others(made):
-        return sum(one.workspace != heavy for one in made)
+    def others(arrivals):
+        return sum(request.workspace != heavy for request in arrivals)
 
-    def least_share(offers, got, fit):
-        shares = max_min(offers, fit.total()).items()
-        return min(got[one] / share for one, share in shares)
+    def min_share(offers, served, servable):
+        shares = max_min_shares(offers, servable.total()).items()
+        return min(served[workspace] / share for workspace, share in shares)
 
     counted = (
-        spans(made, 5.0, load)
-        for made in (outcome.offered, outcome.served, perfect.served)
+        window_counts(arrivals, 5.0, load)
+        for arrivals in (outcome.offered, outcome.served, perfect.served)
     )
     return {
-        # Lost by the others for the surge, as a part of what they offer.
+        # Requests of other workspaces lost in the surge, relative to their offers.
         "lost": (others(usual.served) - others(outcome.served))
         / others(outcome.offered),
         "total": len(outcome.served) / len(perfect.served),
-        "share": min(itertools.starmap(least_share, zip(*counted, strict=True))),
-        "fill": max(outcome.fills),
-        "changes": most_changes(outcome),
+        "share": min(itertools.starmap(min_share, zip(*counted, strict=True))),
+        "fill": max(outcome.utilizations),
+        "changes": max_level_changes(outcome),
     }
 
 
 class TestWorkspaces:
     @pytest.mark.parametrize(("count", "seeds"), FLEETS)
     def test_row(self, count, seeds):
-        """Others are refused for the surge of one, or the one gets nothing at all.
+        """A workspace's surge causes rejections of others, or it gets no share itself.
 
-        All have one priority, as in fleet B: between priorities the order is strict.
+        The requests have the same priority, as in fleet B: priorities are strict.
         """
         load = Load(loss_s=99.0, priorities=((1, 1.0),))
         bounds = {"lost": -0.03, "total": 0.9, "share": 0.5, "fill": -1.1}
@@ -396,36 +411,45 @@
             load,
             count,
             seeds,
-            figures=workspace_figures,
+            measure=measure_workspaces,
             bounds=bounds | {"changes": -1},
         )
 
 
 class TestFaults:
     @pytest.mark.parametrize("seed", range(10))
-    def test_instance_that_wakes(self, seed):
-        """What it planned before its pause is counted as admitted just now."""
-        load = admission(1)._replace(sleep=(2.0, 12.0))
-        outcome = replay(load._replace(length_s=12.5), 8, seed)
-        first, *others = (one.plan.parts.get(2, 1.0) for one in outcome.instances)
+    def test_resumed_instance(self, seed):
+        """After a pause, streams of an old plan are counted as admitted recently."""
+        load = admission_load(1)._replace(pause=(2.0, 12.0))
+        outcome = simulate(load._replace(length_s=12.5), 8, seed)
+        first, *others = (
+            instance.plan.parts.get(2, 1.0) for instance in outcome.instances
+        )
         assert min(others) - 0.3 <= first <= max(others) + 0.3
-        assert max(outcome.fills) <= 1.1
+        assert max(outcome.utilizations) <= 1.1
 
     @pytest.mark.parametrize(
         ("count", "seed"), [(8, seed) for seed in range(10)] + [(72, 0), (72, 1)]
     )
-    def test_sums_that_are_late(self, count, seed):
-        """Without sums, nothing or everything would be admitted."""
-        load = admission(1)._replace(late_s=3.0)
-        outcome = replay(load, count, seed)
-        assert all(one.plan.is_fallback for one in outcome.instances)
+    def test_delayed_sums(self, count, seed):
+        """Without recent sums, no streams or all streams are admitted."""
+        load = admission_load(1)._replace(delayed_from_s=3.0)
+        outcome = simulate(load, count, seed)
+        assert all(instance.plan.is_fallback for instance in outcome.instances)
         for priority in (1, 2):
-            got, all_of = (
-                sum(one.priority == priority for one in within(made, 4.0, 14.0))
-                for made in (outcome.admitted, outcome.offered)
+            admitted, offered = (
+                sum(
+                    request.priority == priority
+                    for request in requests_between(arrivals, 4.0, 14.0)
+                )
+                for arrivals in (outcome.admitted, outcome.offered)
             )
-            assert 0.15 <= got / all_of <= 0.97
-        urgent = [one for one in within(outcome.offered, 4.0, 14.0) if not one.priority]
+            assert 0.15 <= admitted / offered <= 0.97
+        urgent = [
+            request
+            for request in requests_between(outcome.offered, 4.0, 14.0)
+            if not request.priority
+        ]
         assert set(urgent) <= set(outcome.admitted)
 
 
@@ -433,8 +457,8 @@
 FULL = 900.0
 
 
-def planned(demand, heaviest=None, *, policy=EQUAL, room=ROOM, running=FULL):
-    """Return the first plan of a planner; 180 starts per second are admissible."""
+def make_plan(demand, heaviest=None, *, policy=EQUAL_WEIGHTS, room=ROOM, running=FULL):
+    """Return a new planner's first plan; 180 starts per second are admissible."""
     return Planner(policy=policy).plan(
         demand, heaviest or {}, room, running, age_s=0.5, now_s=100.0
     )
@@ -442,46 +466,46 @@
 
 class TestPlan:
     def test_demand_that_fits(self):
-        """A service without overload refuses nothing."""
-        assert planned({0: 100.0, 1: 79.0}) is OPEN
+        """Guards against rejections without overload."""
+        assert make_plan({0: 100.0, 1: 79.0}) is UNLIMITED
 
-    def test_urgent_first(self):
-        """Less urgent requests are refused before the first urgent one is."""
-        plan = planned({0: 100.0, 1: 160.0, 2: 50.0})
+    def test_urgent_requests_are_admitted_first(self):
+        """Guards against rejections of urgent requests in favor of less urgent ones."""
+        plan = make_plan({0: 100.0, 1: 160.0, 2: 50.0})
         assert plan.level == 1
         assert plan.parts == pytest.approx({1: 0.5, 2: 0.0})
         assert plan.admitted_per_s == pytest.approx(180.0)
 
     def test_no_room(self):
-        """Without runners nothing is divided by, and nothing is admitted."""
-        plan = planned({0: 10.0, 1: 10.0}, room=Room(0.0, 0.0, 0.0, 0.0))
+        """Guards against a division by 0, or admission, without runners."""
+        plan = make_plan({0: 10.0, 1: 10.0}, room=Room(0.0, 0.0, 0.0, 0.0))
         assert plan.parts == {0: 0.0, 1: 0.0}
         assert plan.admitted_per_s == 0.0
 
-    def test_admitted_since_counts(self):
-        """Sums that are late show free room which the last plan has filled."""
-        planner = Planner(policy=EQUAL)
+    def test_recently_admitted_streams_count(self):
+        """Delayed sums show free capacity that the last plan has already filled."""
+        planner = Planner(policy=EQUAL_WEIGHTS)
         first = planner.plan({0: 600.0}, {}, ROOM, 500.0, age_s=0.5, now_s=1.0)
         again = planner.plan({0: 600.0}, {}, ROOM, 500.0, age_s=0.5, now_s=1.5)
         assert again.admitted_per_s < first.admitted_per_s - 100.0
 
     def test_pause_is_not_counted(self):
-        """A plan from before a pause was not what others followed meanwhile."""
-        planner = Planner(policy=EQUAL)
+        """A plan from before a pause differs from those of other instances."""
+        planner = Planner(policy=EQUAL_WEIGHTS)
         first = planner.plan({0: 600.0}, {}, ROOM, 500.0, age_s=0.5, now_s=1.0)
         again = planner.plan({0: 600.0}, {}, ROOM, 500.0, age_s=0.5, now_s=11.0)
         assert again == first
 
-    def test_surge_is_foreseen(self):
-        """A count over one second shows a step whole only after a second."""
-        planner = Planner(policy=EQUAL)
+    def test_surge_is_projected(self):
+        """A count over one second reaches the new rate only after a second."""
+        planner = Planner(policy=EQUAL_WEIGHTS)
         for now_s, rate in ((1.0, 100.0), (1.25, 100.0), (1.5, 200.0)):
             plan = planner.plan({0: rate}, {}, ROOM, FULL, age_s=0.5, now_s=now_s)
         assert plan.parts[0] < 0.4
 
-    def test_level_is_held(self):
-        """Demand about the bound moves the level with each plan."""
-        planner = Planner(policy=EQUAL)
+    def test_level_changes_are_limited(self):
+        """Demand that oscillates around the capacity changes the level in each plan."""
+        planner = Planner(policy=EQUAL_WEIGHTS)
         changes, last = [], None
         for n in range(80):
             rate = 100.0 if n % 2 else 400.0
@@ -497,40 +521,44 @@
 class TestShares:
     HEAVY = {(1, 1): 100.0, (1, 2): 100.0, (1, 3): 20.0}
 
-    def admitted(self, plan, policy=EQUAL):
-        """Return, by workspace, what an admitter lets through of its offers."""
+    def admitted(self, plan, policy=EQUAL_WEIGHTS):
+        """Return the admitted rate by workspace."""
         admitter = Admitter(policy=policy)
-        got = {}
+        admitted = {}
         for (priority, workspace), rate in self.HEAVY.items():
-            asked = [
+            decisions = [
                 admitter.admits(plan, priority, workspace, workspace_offers_per_s=rate)
                 for _ in range(1000)
             ]
-            got[workspace] = rate * sum(asked) / len(asked)
-        return got
+            admitted[workspace] = rate * sum(decisions) / len(decisions)
+        return admitted
 
-    def test_small_ones_are_whole(self):
-        """All are refused alike for the two that offer more than their share."""
-        plan = planned({1: 230.0}, self.HEAVY)
+    def test_small_workspaces_are_not_limited(self):
+        """A surge of two workspaces causes rejections of the others."""
+        plan = make_plan({1: 230.0}, self.HEAVY)
         assert plan.rest_part == 1.0
-        got = self.admitted(plan)
-        assert got == pytest.approx({1: 75.0, 2: 75.0, 3: 20.0}, abs=0.2)
+        admitted = self.admitted(plan)
+        assert admitted == pytest.approx({1: 75.0, 2: 75.0, 3: 20.0}, abs=0.2)
 
     def test_weights(self):
-        """A weight sets the ratio of what workspaces get that offer more."""
+        """Guards against shares of limited workspaces that don't follow the weights."""
         policy = WorkspacePolicy({1: 2.0}, 0.5)
-        got = self.admitted(planned({1: 220.0}, self.HEAVY, policy=policy), policy)
-        assert got == pytest.approx({1: 100.0, 2: 60.0, 3: 20.0}, abs=0.2)
+        admitted = self.admitted(
+            make_plan({1: 220.0}, self.HEAVY, policy=policy), policy
+        )
+        assert admitted == pytest.approx({1: 100.0, 2: 60.0, 3: 20.0}, abs=0.2)
 
     def test_floor(self):
-        """A workspace of weight 0 keeps a part of its equal share."""
+        """Guards against a workspace of weight 0 that loses its guaranteed share."""
         policy = WorkspacePolicy({2: 0.0}, 0.5)
-        got = self.admitted(planned({1: 220.0}, self.HEAVY, policy=policy), policy)
-        assert got == pytest.approx({1: 100.0, 2: 40.0, 3: 20.0}, abs=0.2)
+        admitted = self.admitted(
+            make_plan({1: 220.0}, self.HEAVY, policy=policy), policy
+        )
+        assert admitted == pytest.approx({1: 100.0, 2: 40.0, 3: 20.0}, abs=0.2)
 
-    def test_many_small_ones(self):
-        """Workspaces that are not named take more than all of what is left."""
-        plan = planned({1: 1820.0}, self.HEAVY)
+    def test_many_small_workspaces(self):
+        """Unnamed workspaces exceed the capacity without being limited."""
+        plan = make_plan({1: 1820.0}, self.HEAVY)
         assert 0.0 < plan.rest_part < 1.0
 
     @given(
@@ -540,42 +568,42 @@
         st.floats(0.0, 1.0),
     )
     @example({22: 2.0}, 179.0, {22: 1.2e-101}, 0.0)
-    def test_shares_sum_up(self, heavy, rest, weights, floor_part):
-        """Rounding or edges of the levels give away more than there is."""
+    def test_shares_sum_up(self, heavy, light_total_per_s, weights, floor_part):
+        """Rounding, or a breakpoint of the levels, makes shares exceed the capacity."""
         policy = WorkspacePolicy(weights, floor_part)
-        demand = {1: rest + sum(heavy.values())}
-        heaviest = {(1, one): rate for one, rate in heavy.items()}
-        plan = planned(demand, heaviest, policy=policy)
+        demand = {1: light_total_per_s + sum(heavy.values())}
+        heaviest = {(1, workspace): rate for workspace, rate in heavy.items()}
+        plan = make_plan(demand, heaviest, policy=policy)
         if plan.workspace_starts_per_s is None:
             return
-        got = rest * plan.rest_part + sum(
+        admitted_per_s = light_total_per_s * plan.rest_part + sum(
             min(
                 rate,
                 max(
                     plan.workspace_floor_per_s,
-                    weights.get(one, 1.0) * plan.workspace_starts_per_s,
+                    weights.get(workspace, 1.0) * plan.workspace_starts_per_s,
                 ),
             )
-            for one, rate in heavy.items()
+            for workspace, rate in heavy.items()
         )
-        assert got <= 180.0 * (1.0 + 1e-6)
+        assert admitted_per_s <= 180.0 * (1.0 + 1e-6)
 
 
 class TestAdmitter:
     PLAN = Plan({1: 0.3, 2: 0.0}, 1, None, 100.0, is_fallback=False)
 
     def test_spread_evenly(self):
-        """Random draws would admit runs of requests."""
+        """Random decisions would admit bursts of requests."""
         admitter = Admitter()
-        asked = [
+        decisions = [
             admitter.admits(self.PLAN, 1, 7, workspace_offers_per_s=None)
             for _ in range(100)
         ]
         for length in range(1, 100):
-            assert abs(sum(asked[:length]) - 0.3 * length) <= 1.0
+            assert abs(sum(decisions[:length]) - 0.3 * length) <= 1.0
 
     def test_first_requests_of_many_instances(self):
-        """350 instances that see one request each would all decide alike."""
+        """With one phase, 350 instances would decide on one request each in unison."""
         first = sum(
             Admitter(phase=n / 350).admits(self.PLAN, 1, 7, workspace_offers_per_s=None)
             for n in range(350)
@@ -586,22 +614,22 @@
         ("priority", "is_admitted"), [(0, True), (2, False), (3, False)]
     )
     def test_other_priorities(self, priority, is_admitted):
-        """A less urgent priority that was not offered before is admitted whole."""
+        """A less urgent priority without previous demand is admitted completely."""
         found = Admitter().admits(self.PLAN, priority, 7, workspace_offers_per_s=None)
         assert found is is_admitted
 
     def test_memory_is_bounded(self):
-        """Callers that make up workspaces fill the memory."""
+        """Callers with invented workspaces exhaust the memory."""
         admitter = Admitter()
         for workspace in range(10_000):
             admitter.admits(self.PLAN, 1, workspace, workspace_offers_per_s=None)
         assert len(admitter._remainders) <= 4096
 
 
-class TestAlone:
+class TestFallback:
     def run(self, parts, *, demand=None, planner=None):
-        """Return the plans of one per second with these parts within target."""
-        planner = planner or Planner(policy=EQUAL)
+        """Return one plan per second for these fractions within target."""
+        planner = planner or Planner(policy=EQUAL_WEIGHTS)
         demand = demand or {0: 10.0, 1: 10.0, 2: 10.0}
         return [
             planner.plan_from_local_load(
@@ -610,21 +638,21 @@
             for second, part in enumerate(parts)
         ]
 
-    def test_falls_least_urgent_first(self):
-        """Without sums an overload is never met, or all priorities fall at once."""
+    def test_least_urgent_is_reduced_first(self):
+        """Without sums, overload is not reduced, or all priorities are cut at once."""
         plans = self.run([0.5] * 40)
         assert plans[1].parts == pytest.approx({1: 0.95, 2: 0.85})
         assert plans[-1].parts == pytest.approx({1: 0.2, 2: 0.2})
-        assert all(one.is_fallback and 0 not in one.parts for one in plans)
+        assert all(plan.is_fallback and 0 not in plan.parts for plan in plans)
 
-    def test_rises_again(self):
-        """What was cut once stays cut."""
+    def test_fractions_recover(self):
+        """Reduced fractions are never raised again."""
         plans = self.run([0.5] * 40 + [1.0] * 40)
         assert plans[-1].parts == pytest.approx({1: 0.95, 2: 0.95})
 
-    def test_one_step_a_second(self):
-        """Plans come four times a second."""
-        planner = Planner(policy=EQUAL)
+    def test_one_step_per_second(self):
+        """Fractions change with each plan, four times a second."""
+        planner = Planner(policy=EQUAL_WEIGHTS)
         parts = [
             planner.plan_from_local_load(
                 {0: 1.0, 1: 1.0}, in_target_part=0.0, now_s=n / 4
@@ -633,9 +661,9 @@
         ]
         assert parts[-1] == pytest.approx(0.95 - 4 * 0.1)
 
-    def test_goes_on_from_the_last_plan(self):
-        """Sums that end under overload let everything in."""
-        planner = Planner(policy=EQUAL)
+    def test_starts_from_the_last_plan(self):
+        """Everything is admitted when sums become unavailable under overload."""
+        planner = Planner(policy=EQUAL_WEIGHTS)
         planner.plan({0: 90.0, 1: 180.0}, {}, ROOM, FULL, age_s=0.5, now_s=0.0)
         plan = planner.plan_from_local_load(
             {0: 9.0, 1: 18.0}, in_target_part=None, now_s=2.0
@@ -645,27 +673,27 @@
 
 class TestCost:
     @pytest.mark.parametrize(
-        "weights", [{}, {one: 1.0 + one % 3 for one in range(32)}], ids=["equal", "own"]
+        "weights", [{}, {n: 1.0 + n % 3 for n in range(32)}], ids=["equal", "own"]
     )
     def test_cost_is_bounded(self, weights):
-        """Guards against plans and decisions that take more calls on the request path.
+        """Guards against plans and decisions that make more calls on the request path.
 
-        12 keys and 32 heavy workspaces; bench/admission_costs.py has the times.
+        12 keys and 32 heavy workspaces; bench/admission_costs.py measures the times.
         """
         rng = random.Random(1)
         demand = {10 * n: 20.5 for n in range(12)}
-        heavy = {(80, one): rng.uniform(0.2, 0.6) for one in range(32)}
+        heavy = {(80, workspace): rng.uniform(0.2, 0.6) for workspace in range(32)}
         policy = WorkspacePolicy(weights, 0.5)
         planner, admitter = Planner(policy=policy), Admitter(policy=policy)
         counts = collections.Counter()
         kind = "plan"
 
-        def note(_frame, event, _argument):
+        def count_call(_frame, event, _argument):
             counts[kind] += event in ("call", "c_call")
 
         for n in range(200):
             kind = "plan"
-            sys.setprofile(note)
+            sys.setprofile(count_call)
             plan = planner.plan(demand, heavy, ROOM, FULL, age_s=0.8, now_s=n / 4)
             kind = "decision"
             admitter.admits(plan, 80, n % 32, workspace_offers_per_s=0.5)
--- a/tests/test_admission_preview.py
+++ b/tests/test_admission_preview.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What other admission settings would refuse at a dump's demand."""
+"""Previews of rejections under other admission settings, from a state dump."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 ACTIVE = AdmissionSection()
-#: At 90 running of a room of 100, 45 streams end in a second and none more fits.
+#: With 90 of 100 streams running, 45 streams end per second and no more are admitted.
 ROOM = {"streams": 100.0, "starts_per_s": 50.0, "tokens_per_s": 1e4, "stream_s": 2.0}
-OPEN = {
+UNLIMITED_PLAN = {
     "parts": {},
     "level": None,
     "workspace_starts_per_s": None,
@@ -55,7 +55,7 @@
 
 
 def heavy(workspace, rate, priority=2):
-    """Return a workspace's demand."""
+    """Return the dumped demand of a workspace."""
     number = server_number(workspace)
     return {
         "priority": priority,
@@ -74,7 +74,7 @@
         "demand_per_s": {"0": 25.0, "2": 60.0},
         "heaviest_per_s": [heavy("clinic", 40.0), heavy("press", 20.0)],
         "age_s": 0.3,
-        "plan": OPEN,
+        "plan": UNLIMITED_PLAN,
     }
     state = {
         "state_version": 3,
@@ -86,17 +86,17 @@
 
 
 def refused(state, section):
-    """Return the refusals per second by priority and workspace."""
+    """Return the rejections per second by priority and workspace."""
     [service] = preview(state, section)
     return {
-        (one.priority, workspace.workspace): workspace.refused_per_s
-        for one in service.priorities
-        for workspace in one.workspaces
-    } | {(one.priority, "all"): one.refused_per_s for one in service.priorities}
+        (row.priority, workspace.workspace): workspace.refused_per_s
+        for row in service.priorities
+        for workspace in row.workspaces
+    } | {(row.priority, "all"): row.refused_per_s for row in service.priorities}
 
 
 class TestPreview:
-    def test_less_urgent_streams_share_what_is_left(self):
+    def test_less_urgent_streams_share_the_remaining_capacity(self):
         """Guards against a preview that differs from the plan: 20 starts for 60."""
         state = dump()
         assert active_section(state) == ACTIVE
@@ -110,32 +110,32 @@
         )
 
     def test_weights_shift_refusals(self):
-        """Guards against weights that have no effect: 3 of 4 parts go to one."""
+        """Guards against weights without effect: one workspace is granted 3/4."""
         weighted = AdmissionSection(workspace_weights="clinic=3")
-        found = refused(dump(), weighted)
-        assert found[2, "clinic"] == pytest.approx(25.0)
-        assert found[2, "press"] == pytest.approx(15.0)
+        result = refused(dump(), weighted)
+        assert result[2, "clinic"] == pytest.approx(25.0)
+        assert result[2, "press"] == pytest.approx(15.0)
 
     def test_floor_limits_a_weight(self):
-        """Guards against a weight of 0 that leaves a workspace nothing."""
+        """Guards against a weight of 0 that overrides the floor."""
         weighted = AdmissionSection(workspace_weights="press=0, clinic=1")
-        found = refused(dump(), weighted)
-        assert found[2, "press"] == pytest.approx(15.0)
+        result = refused(dump(), weighted)
+        assert result[2, "press"] == pytest.approx(15.0)
         none = weighted._replace(workspace_floor_part=0.0)
         assert refused(dump(), none)[2, "press"] == pytest.approx(20.0)
 
     def test_workspaces_that_are_not_among_the_heaviest(self):
-        """Guards against small workspaces that are lost from the sum."""
+        """Guards against light workspaces that are missing from the sum."""
         state = dump(heaviest_per_s=[heavy("clinic", 50.0)])
-        found = refused(state, ACTIVE)
-        assert found[2, "clinic"] + found[2, None] == pytest.approx(40.0)
-        assert found[2, None] < 10.0
+        result = refused(state, ACTIVE)
+        assert result[2, "clinic"] + result[2, None] == pytest.approx(40.0)
+        assert result[2, None] < 10.0
 
-    def test_room_for_all(self):
-        """Guards against refusals that are shown while all demand fits."""
+    def test_demand_within_capacity(self):
+        """Guards against rejections in the preview while the demand fits."""
         [service] = preview(dump(running=10), ACTIVE)
         assert service.level is None
-        assert [one.refused_per_s for one in service.priorities] == [0.0, 0.0]
+        assert [row.refused_per_s for row in service.priorities] == [0.0, 0.0]
 
     @pytest.mark.parametrize(
         ("mode", "priorities", "is_governed"),
@@ -147,7 +147,7 @@
         ],
     )
     def test_mode_decides(self, mode, priorities, is_governed):
-        """Guards against a preview of services that the mode leaves ungoverned."""
+        """Guards against previewed rejections for services that are not governed."""
         state = dump(route_priorities=priorities)
         [service] = preview(state, ACTIVE._replace(mode=mode))
         assert service.is_governed is is_governed
@@ -156,13 +156,16 @@
     @pytest.mark.parametrize(
         "change",
         [
-            {"plan": OPEN | {"parts": {"2": 0.4}, "level": 2, "is_fallback": True}},
-            {"plan": OPEN | {"parts": {"2": 0.4}, "level": 2}, "age_s": 2.5},
-            {"plan": OPEN | {"parts": {"2": 0.4}, "level": 2}, "age_s": None},
+            {
+                "plan": UNLIMITED_PLAN
+                | {"parts": {"2": 0.4}, "level": 2, "is_fallback": True}
+            },
+            {"plan": UNLIMITED_PLAN | {"parts": {"2": 0.4}, "level": 2}, "age_s": 2.5},
+            {"plan": UNLIMITED_PLAN | {"parts": {"2": 0.4}, "level": 2}, "age_s": None},
         ],
     )
-    def test_fallback_goes_by_the_plan(self, change):
-        """Guards against a plan from sums that are too old or missing."""
+    def test_fallback_uses_the_dumped_plan(self, change):
+        """Guards against a plan based on outdated or missing sums."""
         weighted = AdmissionSection(workspace_weights="clinic=3")
         state = dump(**change)
         [service] = preview(state, weighted)
@@ -170,13 +173,13 @@
         assert service.priorities[1].refused_per_s == pytest.approx(36.0)
 
     @pytest.mark.parametrize("data", [b"", b"{}", b"[]", b'{"admission": {"m": 1}}'])
-    def test_other_data_is_no_dump(self, data):
-        """Guards against a traceback where an operator names the wrong file."""
+    def test_invalid_dump(self, data):
+        """Guards against a traceback if an operator passes the wrong file."""
         with pytest.raises(ValueError, match="no state dump"):
             parse_state(data)
 
-    def test_active_settings_are_checked(self):
-        """Guards against active settings that are taken unchecked from a dump."""
+    def test_active_settings_are_validated(self):
+        """Guards against active settings of a dump that are not validated."""
         state = dump(ACTIVE._replace(workspace_floor_part=2.0))
         with pytest.raises(ValueError, match="admission_settings"):
             active_section(state)
@@ -184,7 +187,7 @@
 
 class TestLines:
     def test_both_settings_side_by_side(self):
-        """Guards against columns that are exchanged."""
+        """Guards against swapped columns."""
         weighted = AdmissionSection(workspace_weights="clinic=3")
         lines = preview_lines(dump(), active=ACTIVE, proposed=weighted)
         assert lines[0] == "model: room 100.0 streams, running 90, age of sums 0.30 s"
@@ -196,18 +199,18 @@
             ["press", "20.0", "10.0", "15.0"],
         ]
 
-    def test_service_that_is_governed_no_more(self):
-        """Guards against workspaces that are left out where one side has none."""
+    def test_service_that_is_no_longer_governed(self):
+        """Guards against workspaces that are omitted if only one side lists them."""
         off = ACTIVE._replace(mode=AdmissionMode.OFF)
         lines = preview_lines(dump(), active=ACTIVE, proposed=off)
         assert "  proposed: not governed, nothing is refused by priority" in lines
-        assert ["clinic", "40.0", "30.0", "0.0"] in [one.split() for one in lines]
-        back = preview_lines(dump(), active=off, proposed=ACTIVE)
-        assert ["clinic", "40.0", "0.0", "30.0"] in [one.split() for one in back]
+        assert ["clinic", "40.0", "30.0", "0.0"] in [line.split() for line in lines]
+        reverse = preview_lines(dump(), active=off, proposed=ACTIVE)
+        assert ["clinic", "40.0", "0.0", "30.0"] in [line.split() for line in reverse]
         assert lines[-1].startswith("mode auto -> off")
 
     def test_no_service(self):
-        """Guards against silence where nothing is governed."""
+        """Guards against an empty output if no service is governed."""
         state = dump()
         state["admission"] = {}
         assert preview_lines(state, active=ACTIVE, proposed=ACTIVE) == [
@@ -221,8 +224,8 @@
         monkeypatch.setattr(sys, "argv", ["violethatch", *arguments])
         cli.main()
 
-    def test_prints_what_a_file_tells(self, monkeypatch, tmp_path, capsys):
-        """Guards against a command that compares other settings than the file's."""
+    def test_reads_a_file(self, monkeypatch, tmp_path, capsys):
+        """Guards against a command that ignores the settings file."""
         state, settings = tmp_path / "state.json", tmp_path / "router.ini"
         state.write_bytes(msgspec.json.encode(dump()))
         settings.write_text(SETTINGS + "workspace_weights = clinic=3\n")
@@ -238,7 +241,7 @@
         assert ["clinic", "40.0", "30.0", "25.0"] in shown
 
     def test_reads_a_url(self, monkeypatch, tmp_path, capsys):
-        """Guards against a dump that can be read from a file alone."""
+        """Guards against a command that can read the dump from files only."""
         data = msgspec.json.encode(dump())
 
         class Handler(http.server.BaseHTTPRequestHandler):
@@ -259,14 +262,14 @@
             self.run(monkeypatch, *arguments, f"{url}/state")
             shown = [line.split() for line in capsys.readouterr().out.splitlines()]
             assert ["clinic", "40.0", "30.0", "30.0"] in shown
-            with pytest.raises(SystemExit) as ended:
+            with pytest.raises(SystemExit) as exit_info:
                 self.run(monkeypatch, *arguments, f"{url}/other")
             server.shutdown()
-        assert ended.value.code == 1
+        assert exit_info.value.code == 1
         assert "404" in capsys.readouterr().err
 
     def test_wrong_file(self, monkeypatch, tmp_path):
-        """Guards against a traceback for a file that is no dump."""
+        """Guards against a traceback for a file that is not a dump."""
         state, settings = tmp_path / "state.json", tmp_path / "router.ini"
         state.write_text("no dump")
         settings.write_text(SETTINGS)
