--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -13,14 +13,14 @@
 from test_instances import directories, entry
 from violethatch import (
     _fleet_watch,
+    _placement_controller,
     _placement_lease,
     _placement_plans,
-    _placing,
     _waiting_orders,
     clocks,
 )
+from violethatch._placement_controller import PlacementController
 from violethatch._placement_lease import LeaseWrite
-from violethatch._placing import PlacementDuty
 from violethatch.errors import TableUnavailableError
 from violethatch.ports import AnswerLostError, Row
 from violethatch.upstream import OrderAnswer, OrderOutcome
@@ -60,7 +60,7 @@
     """Let nobody wait for long."""
     monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
     monkeypatch.setattr(_placement_lease, "_SPREAD_S", 0.0)
-    monkeypatch.setattr(_placing, "_RESIGN_PAUSE_S", 0.0)
+    monkeypatch.setattr(_placement_controller, "_RESIGN_PAUSE_S", 0.0)
     monkeypatch.setattr(_fleet_watch, "_REPAIR_REST_S", 0.0)
 
 
@@ -76,7 +76,7 @@
     client = FakeClient()
     client.reports = {one.id: report(layers=one.layers, sequence=4) for one in servers}
     routing = make_routing(client, *servers, rng=random.Random(1), **policy)
-    duty = PlacementDuty(
+    duty = PlacementController(
         routing,
         store=store,
         holder=name,
