--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -327,7 +327,9 @@
     def apply_desired_state(self, view: TableView, _is_whole: bool) -> None:
         """Apply the desired state without pausing, if it is newer."""
         slices = Slices()
-        self._activate_state(view, slices.run_whole(self._decode_steps(view)), slices)
+        self._activate_state(
+            view, slices.run_to_completion(self._decode_steps(view)), slices
+        )
 
     async def apply_desired_state_in_slices(
         self, view: TableView, _is_whole: bool
@@ -370,11 +372,11 @@
         """Put a decoded desired state in force, if there is one."""
         if state is None:
             return
-        with slices.at_one_go():
+        with slices.unsliced():
             self.desired = state
             self._desired_value = view.values["config"]
             self.routing.admission.apply_desired_state(state)
-        self.metrics.record_state_applied(slices.took_s, slices.longest_s)
+        self.metrics.record_state_applied(slices.elapsed_s, slices.max_slice_s)
         self.record_start_step(Step.DESIRED_STATE)
         events.log(
             events.REVISION_APPLIED,
@@ -383,9 +385,9 @@
             row_version=view.version,
             era=view.era,
             source=view.source,
-            took_s=round(slices.took_s, 4),
+            took_s=round(slices.elapsed_s, 4),
             slices=slices.count,
-            longest_hold_s=round(slices.longest_s, 4),
+            longest_hold_s=round(slices.max_slice_s, 4),
         )
 
     def apply_server_list(self, view: TableView, is_whole: bool) -> None:
