--- a/src/violethatch/_placement_lease.py
+++ b/src/violethatch/_placement_lease.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The lease of the placement duty: who may order, under which fence."""
+"""Lease for placement orders, with a fencing epoch."""
 
 from __future__ import annotations
 
@@ -17,52 +17,53 @@
 
 
 _JOB = "placement"
-#: Longest random pause before a try for the lease, in seconds.
-_SPREAD_S = 0.8
-#: The time between tries for a lease that another instance holds, in seconds: it is
-#: given back soon after the last order, and a hole should not wait for half a lease.
-_TRY_PAUSE_S = 0.7
-#: Parts of that time that are drawn from.
-_PAUSE_PARTS = (0.8, 1.3)
-#: How many renewals there are in the time of a lease.
-_RENEWALS = 3
+#: Max random delay before an attempt to acquire the lease, in seconds.
+_MAX_JITTER_S = 0.8
+#: Interval between attempts while another instance holds the lease, in seconds: it is
+#: released soon after the last order, and missing layers should not wait for half a
+#: lease duration.
+_RETRY_INTERVAL_S = 0.7
+#: Range of the random factor of that interval.
+_JITTER_FACTORS = (0.8, 1.3)
+#: Renewals per lease duration.
+_RENEWALS_PER_LEASE = 3
 
 
 class LeaseWrite(NamedTuple):
-    """What came of a write of the lease's row."""
+    """Result of a write to the lease row."""
 
     is_written: bool
     version: int
 
 
 class LeaseStore(Protocol):
-    """Keeps the lease's row."""
+    """Storage of the lease row."""
 
     async def read_row(self, key: str) -> Row | None:
-        """Return a row, or None if there is none.
+        """Return a row, or None if it does not exist.
 
         Raises:
-            TableUnavailableError: The store refuses or is silent.
+            TableUnavailableError: The store rejects the call or does not respond.
         """
 
     async def write_row(self, put: Put) -> LeaseWrite:
-        """Write a row under its condition.
+        """Write a row if its version matches.
 
         Raises:
             TableUnavailableError: Nothing was written.
-            AnswerLostError: It was written, or not; it can't be told.
+            AnswerLostError: The outcome of the write is unknown.
         """
 
 
 class PlacementLease:
-    """One process's part in the lease.
+    """Lease state of this process.
 
     Args:
-        store: Keeps the lease's row.
-        holder: Names this process's lifetime.
-        policy: The lease's duration and margin.
-        rng: Spreads tries of many instances.
-        era: The store's era; in a newer one the lease has to be seen again.
+        store: Storage of the lease row.
+        holder: Unique ID of this process lifetime.
+        policy: Duration and margin of the lease.
+        rng: Randomizes the attempts of many instances.
+        era: The era of the store; after a change the lease must be observed again.
     """
 
     def __init__(
@@ -82,47 +83,47 @@
             duration_s=policy.lease_duration_s,
             margin_s=policy.lease_margin_s,
         )
-        self._next_try_s = 0.0
+        self._next_attempt_s = 0.0
         self._is_observed = False
         self._era = era or StoreEra()
-        self._era.on_restore(self._note_restored)
+        self._era.on_restore(self._on_store_restored)
 
-    def take_policy(self, policy: RouterPolicySection) -> None:
-        """Take changed times in; a lease that is held keeps its row's."""
+    def update_policy(self, policy: RouterPolicySection) -> None:
+        """Apply changed durations; a lease that is held keeps those of its row."""
         self._lease.duration_s = policy.lease_duration_s
         self._lease.margin_s = policy.lease_margin_s
 
     @property
     def epoch(self) -> int | None:
-        """The fence of orders, or None while none may be given."""
+        """Fencing epoch of orders, or None without a valid lease."""
         return self._lease.held_epoch(now_s=clocks.now_s())
 
     @property
     def is_held(self) -> bool:
-        """Whether orders may be given now."""
+        """Whether the lease is held."""
         return self.epoch is not None
 
-    def may_try(self, *, now_s: float) -> bool:
-        """Tell whether another try for the lease is due."""
-        return now_s >= self._next_try_s
+    def can_attempt(self, *, now_s: float) -> bool:
+        """Whether another attempt to acquire the lease is due."""
+        return now_s >= self._next_attempt_s
 
-    def note_unreachable(self, reason: str) -> None:
-        """Leave the lease alone for a while, since the store is away."""
-        self._delay_try()
+    def record_unavailable(self, reason: str) -> None:
+        """Delay the next attempt, since the store is unavailable."""
+        self._delay_attempt()
         _log_unreachable(reason)
 
     async def observe_early(self) -> None:
-        """Read the lease's row once before there is an order to give.
+        """Read the lease row once before the first order.
 
-        The time of a holder that is gone then runs out while the list settles.
+        The lease of a terminated holder can then expire while the list settles.
         """
-        if self._is_observed or not self.may_try(now_s=clocks.now_s()):
+        if self._is_observed or not self.can_attempt(now_s=clocks.now_s()):
             return
-        self._delay_try()
+        self._delay_attempt()
         await self._observe()
 
     async def _observe(self) -> float:
-        """Read the lease's row; return when that was begun, in monotonic seconds."""
+        """Read the lease row; return the start of the read, in monotonic seconds."""
         sent_s = clocks.now_s()
         row = await self._store.read_row(self._lease.row_key)
         self._lease.era = self._era.current
@@ -130,25 +131,28 @@
         self._is_observed = True
         return sent_s
 
-    async def hold(self, now_s: float) -> bool:
-        """Hold the lease; tell whether orders may be given."""
+    async def acquire(self, now_s: float) -> bool:
+        """Acquire or renew the lease; return whether it is held."""
         if self.is_held:
             await self.renew(now_s)
             return self.is_held
-        # All instances see the same need at the same time: one pause each.
-        await asyncio.sleep(self._rng.uniform(0.0, _SPREAD_S))
+        # All instances detect the same change at the same time: add jitter.
+        await asyncio.sleep(self._rng.uniform(0.0, _MAX_JITTER_S))
         sent_s = await self._observe()
-        self._delay_try()
+        self._delay_attempt()
         return await self._write(self._lease.wanted_write(now_s=sent_s), sent_s)
 
     async def renew(self, now_s: float) -> None:
-        """Renew the lease in good time."""
-        if self._lease.age_s(now_s=now_s) < self._lease.duration_s / _RENEWALS:
+        """Renew the lease if renewal is due."""
+        if (
+            self._lease.age_s(now_s=now_s)
+            < self._lease.duration_s / _RENEWALS_PER_LEASE
+        ):
             return
         await self._write(self._lease.wanted_write(now_s=now_s), now_s)
 
     async def resign(self) -> None:
-        """Let others take over at once, if the lease is held."""
+        """Release the lease if held, so that others can acquire it immediately."""
         put = self._lease.resigned()
         if put is None:
             return
@@ -156,43 +160,43 @@
         try:
             await self._store.write_row(put)
         except (TableUnavailableError, AnswerLostError) as error:
-            # The lease then runs out by itself.
+            # The lease then expires.
             _log_unreachable(str(error))
 
     async def _write(self, put: Put | None, sent_s: float) -> bool:
-        """Write the lease's row; tell whether the lease is held."""
+        """Write the lease row; return whether the lease is held."""
         if put is None:
             return False
         era = self._era.current
         try:
-            write = await self._store.write_row(put)
+            result = await self._store.write_row(put)
         except AnswerLostError as error:
-            # The next read tells whether it is one's own.
+            # The next read shows whether the write succeeded.
             _log_unreachable(str(error))
-            self._next_try_s = 0.0
+            self._next_attempt_s = 0.0
             return False
-        # In another era the condition may have met a version that was given out again.
-        if not write.is_written or self._era.current != era:
+        # In another era the condition may match a reused version number.
+        if not result.is_written or self._era.current != era:
             return False
         is_new = not self._lease.is_confirmed
-        self._lease.written(put, sent_s=sent_s, version=write.version)
+        self._lease.written(put, sent_s=sent_s, version=result.version)
         if is_new:
             epoch = int(put.value["epoch"])
             events.log(events.LEASE_WON, job=_JOB, epoch=epoch)
         return True
 
-    def _note_restored(self) -> None:
-        """Have the lease seen again, now that the store was restored from a copy."""
+    def _on_store_restored(self) -> None:
+        """Require a new observation of the lease after a restore of the store."""
         if self._lease.is_confirmed:
             events.log(events.LEASE_LOST, job=_JOB, reason="store restored from a copy")
         self._lease.restored(self._era.current)
 
-    def _delay_try(self) -> None:
-        """Leave the lease alone for a while."""
-        pause_s = _TRY_PAUSE_S * self._rng.uniform(*_PAUSE_PARTS)
-        self._next_try_s = clocks.now_s() + pause_s
+    def _delay_attempt(self) -> None:
+        """Schedule the next attempt."""
+        delay_s = _RETRY_INTERVAL_S * self._rng.uniform(*_JITTER_FACTORS)
+        self._next_attempt_s = clocks.now_s() + delay_s
 
 
 def _log_unreachable(reason: str) -> None:
-    """Log that the lease's row can't be read or written."""
+    """Log a failed read or write of the lease row."""
     events.log(events.LEASE_UNREACHABLE, job=_JOB, reason=reason)
--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placing.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The placement duty: ordering runners to hold layers, under a lease.
+"""Placement controller: assigns layers to runners under a lease.
 
-The lease is taken only while there is something to order, so that a fleet at
-rest costs no calls.  Its epoch is the fence of each order.
+The lease is acquired only while orders are due, so that a stable fleet causes no
+calls.  Its epoch fences each order.
 """
 
 from __future__ import annotations
@@ -15,74 +15,74 @@
 from typing import NamedTuple
 
 from . import clocks, events
+from ._delayed_orders import DelayedOrders, Order
 from ._fleet_watch import FleetWatch
 from ._placement_lease import LeaseStore, PlacementLease
-from ._placement_plans import PlacementPlans, Situation
+from ._placement_plans import PlacementPlans, PlanInput
 from ._routing import Routing
-from ._waiting_orders import Order, WaitingOrders
 from .backends import BackendServer
 from .desired import DesiredState, ServiceSpec
 from .errors import TableUnavailableError
 from .instances import InstanceDirectory
 from .layers import LayerRange
-from .load_waves import loading_order
+from .load_order import loading_order
 from .placement import Host
 from .router_settings import RouterPolicySection
 from .store_era import StoreEra
 from .upstream import KeptBackError
 
 
-#: How often the plan is looked at, in seconds.
-_LOOK_S = 0.4
-#: How long an order is waited for beside its load, in seconds: the list tells
-#: of it with the runner's next beat and some lag.
+#: Planning interval, in seconds.
+_PLAN_INTERVAL_S = 0.4
+#: Timeout of an order in addition to its load time, in seconds: the list is updated
+#: after the next heartbeat of the runner and some lag.
 _LIST_LAG_S = 3.0
-#: How many times its stated load an order is waited for.
-_LOAD_PATIENCE = 2
-#: How long to leave a runner alone whose order failed, in seconds.
-_ORDER_REST_S = 2.0
-#: How long the lease is kept after the list shows all orders, in seconds:
-#: others see the same list by then, and don't order anew.
+#: Timeout of an order as a multiple of its expected load time.
+_LOAD_TIMEOUT_FACTOR = 2
+#: Cooldown of a runner after a failed order, in seconds.
+_ORDER_COOLDOWN_S = 2.0
+#: Time that the lease is held after the list shows all orders, in seconds: other
+#: instances have received the same list by then and send no duplicate orders.
 _RESIGN_PAUSE_S = 1.5
-#: How often the plan is looked at while orders wait for others' loads, in seconds.
-_LOADING_LOOK_S = 0.1
-#: Orders that are under way at one time.
-_ORDERS_AT_ONCE = 8
+#: Planning interval while orders are delayed by concurrent loads, in seconds.
+_LOADING_PLAN_INTERVAL_S = 0.1
+#: Max orders in flight.
+_MAX_CONCURRENT_ORDERS = 8
 
 
-class _Ordered(NamedTuple):
-    """What a runner was ordered, until when that is waited for, and in which life.
+class _PendingOrder(NamedTuple):
+    """An order in flight, with its deadline and the lifetime of its runner.
 
     Attributes:
-        is_loading: Whether it may still load layers, as far as is known.
+        is_loading: Whether the runner may still be loading layers.
     """
 
     service: str
     layers: LayerRange
-    until_s: float
+    deadline_s: float
     lifetime: str
     is_loading: bool
 
-    def is_over(self, server: BackendServer | None, *, now_s: float) -> bool:
-        """Tell whether nothing is waited for any more.
+    def is_finished(self, server: BackendServer | None, *, now_s: float) -> bool:
+        """Whether the order is complete, expired or lost.
 
-        A runner that has started again knows nothing of it.
+        A restarted runner has lost its order.
         """
         if server is None or server.lifetime != self.lifetime:
             return True
-        return server.layers == self.layers or now_s >= self.until_s
+        return server.layers == self.layers or now_s >= self.deadline_s
 
 
 class PlacementDuty:
-    """Keeps the model's layers held, by orders under a lease.
+    """Keeps all layers of the models assigned, by orders under a lease.
 
     Args:
-        routing: The shared views.
-        store: Keeps the lease.
-        holder: Names this process's lifetime.
-        rng: Spreads tries of many instances.
-        directory: Says whose turn it is to plan; without it, everybody's.
-        era: The store's era, for the lease.
+        routing: Shared routing state.
+        store: Storage of the lease.
+        holder: Unique ID of this process lifetime.
+        rng: Randomizes the attempts of many instances.
+        directory: Ranks instances for planning; without it, all plan immediately.
+        era: The era of the store, for the lease.
     """
 
     def __init__(
@@ -102,120 +102,135 @@
         )
         self._plans = PlacementPlans(directory)
         self._watches: defaultdict[str, FleetWatch] = defaultdict(FleetWatch)
-        #: By runner, what it was ordered and until when that is waited for.
-        self._ordered: dict[str, _Ordered] = {}
-        self._waiting = WaitingOrders()
-        self._rest_until_s: dict[str, float] = {}
+        #: By runner, its order in flight.
+        self._pending: dict[str, _PendingOrder] = {}
+        self._delayed = DelayedOrders()
+        self._cooldown_until_s: dict[str, float] = {}
         self._last_order_s = 0.0
-        #: Whether a runner is listed that holds nothing: orders may soon be due.
-        self._has_empty = False
+        #: Whether a listed runner holds no layers: orders may soon be due.
+        self._has_unassigned = False
 
     @property
     def is_holder(self) -> bool:
-        """Whether orders may be given now."""
+        """Whether this process holds the lease."""
         return self._lease.is_held
 
     def take_policy(self, policy: RouterPolicySection) -> None:
-        """Take changed times of the lease in."""
-        self._lease.take_policy(policy)
+        """Apply changed lease durations."""
+        self._lease.update_policy(policy)
 
     async def run(self) -> None:
-        """Look at the plan from time to time, until cancelled."""
+        """Update the placement periodically until cancelled."""
         while True:
-            is_pressing = self._waiting and self.is_holder
-            await asyncio.sleep(_LOADING_LOOK_S if is_pressing else _LOOK_S)
+            has_delayed = self._delayed and self.is_holder
+            await asyncio.sleep(
+                _LOADING_PLAN_INTERVAL_S if has_delayed else _PLAN_INTERVAL_S
+            )
             try:
-                await self._look()
+                await self._update()
             except TableUnavailableError as error:
-                self._lease.note_unreachable(error.detail)
+                self._lease.record_unavailable(error.detail)
 
     async def resign(self) -> None:
-        """Let others take over at once, if the lease is held."""
+        """Release the lease if held."""
         await self._lease.resign()
 
-    async def _look(self) -> None:
-        """Give the orders that are due, if this process may."""
+    async def _update(self) -> None:
+        """Send the orders that are due, if the lease can be held."""
         now_s = clocks.now_s()
-        if self._waiting and self.is_holder:
+        if self._delayed and self.is_holder:
             await self._check_loads()
         orders = self._due_orders(now_s)
-        self._forget_done(now_s)
-        self._forget_rests(now_s)
+        self._expire_pending(now_s)
+        self._expire_cooldowns(now_s)
         if not orders:
             await self._renew_or_resign(now_s)
-            if self._has_empty and self._plans.is_first(now_s=now_s):
+            if self._has_unassigned and self._plans.plans_immediately(now_s=now_s):
                 await self._lease.observe_early()
             return
-        if not self.is_holder and not self._lease.may_try(now_s=now_s):
+        if not self.is_holder and not self._lease.can_attempt(now_s=now_s):
             return
         was_holder = self.is_holder
-        if not await self._lease.hold(now_s):
+        if not await self._lease.acquire(now_s):
             return
-        # The list may have changed while the lease was waited for.
-        await self._give(orders if was_holder else self._due_orders(clocks.now_s()))
+        # The list may have changed while the lease was acquired.
+        await self._send_orders(
+            orders if was_holder else self._due_orders(clocks.now_s())
+        )
 
     async def _renew_or_resign(self, now_s: float) -> None:
-        """Keep the lease while orders are waited for; let it go some time after."""
-        if self._ordered:
+        """Renew the lease while orders are in flight; release it some time later."""
+        if self._pending:
             if self.is_holder:
                 await self._lease.renew(now_s)
         elif now_s - self._last_order_s >= _RESIGN_PAUSE_S:
             await self.resign()
 
     def _due_orders(self, now_s: float) -> list[Order]:
-        """Return the orders that the plans ask for and nobody waits for."""
+        """Return the orders that are due by the plans."""
         if self.desired is None:
             return []
-        self._waiting.drop_void(self._routing.backends.get)
-        ordered = {one.service for one in self._ordered.values()}
-        self._has_empty = False
+        self._delayed.drop_stale(self._routing.backends.get)
+        services = {pending.service for pending in self._pending.values()}
+        self._has_unassigned = False
         orders: list[Order] = []
         for service in self.desired.services.values():
-            usable = {one.id: one for one in self._routing.usable(service.name)}
-            self._waiting.drop_outdated(
-                service.name, usable.keys(), has_ordered=service.name in ordered
+            usable = {
+                server.id: server for server in self._routing.usable(service.name)
+            }
+            self._delayed.drop_outdated(
+                service.name, usable.keys(), has_ordered=service.name in services
             )
-            orders += self._startable(service, usable, now_s)
+            orders += self._ready_orders(service, usable, now_s)
         return orders
 
-    def _startable(
+    def _ready_orders(
         self, service: ServiceSpec, usable: Mapping[str, BackendServer], now_s: float
     ) -> list[Order]:
-        """Return a service's orders that may be given now; the others wait.
+        """Return the orders of a service that may be sent now; others are delayed.
 
-        Orders beyond the loads that run at full rate would only delay those before.
+        Loads beyond the full-rate limit would slow down those in progress.
         """
-        waiting = self._waiting.of_service(service.name)
-        if not waiting:
-            waiting = self._planned_orders(service, usable, now_s)
-        startable = [one for one in waiting if not self._rests(one.server.id, now_s)]
+        orders = self._delayed.of_service(service.name)
+        if not orders:
+            orders = self._planned_orders(service, usable, now_s)
+        ready = [
+            order
+            for order in orders
+            if not self._is_in_cooldown(order.server.id, now_s)
+        ]
         engine = service.engine
         if engine is None or not engine.max_concurrent_loads:
-            return startable
-        self._waiting.add(service.name, waiting, usable.keys())
+            return ready
+        self._delayed.add(service.name, orders, usable.keys())
         free = engine.max_concurrent_loads - self._loading_count(service.name)
-        loading = [one for one in startable if one.loads][: max(0, free)]
-        return loading + [one for one in startable if not one.loads]
+        loading = [order for order in ready if order.layers_to_load][: max(0, free)]
+        return loading + [order for order in ready if not order.layers_to_load]
 
-    def _rests(self, server_id: str, now_s: float) -> bool:
-        """Tell whether a runner gets no orders for a while."""
-        return now_s < self._rest_until_s.get(server_id, 0.0)
+    def _is_in_cooldown(self, server_id: str, now_s: float) -> bool:
+        """Whether a runner is in cooldown."""
+        return now_s < self._cooldown_until_s.get(server_id, 0.0)
 
     def _loading_count(self, service: str) -> int:
-        """Return how many of a service's runners may be loading layers."""
+        """Return the number of runners of a service that may be loading layers."""
         return sum(
-            one.is_loading and one.service == service for one in self._ordered.values()
+            order.is_loading and order.service == service
+            for order in self._pending.values()
         )
 
     async def _check_loads(self) -> None:
-        """Ask whether loads have ended: the one begun first, and all once it has."""
-        loading = [one for one, ordered in self._ordered.items() if ordered.is_loading]
+        """Poll the oldest load for completion, then all others once it is complete."""
+        loading = [
+            server_id for server_id, order in self._pending.items() if order.is_loading
+        ]
         if not loading or not await self._has_loaded(loading[0]):
             return
-        await asyncio.gather(*(self._has_loaded(one) for one in loading[1:]))
+        await asyncio.gather(
+            *(self._has_loaded(server_id) for server_id in loading[1:])
+        )
 
     async def _has_loaded(self, server_id: str) -> bool:
-        """Ask a runner whether it holds what it was ordered to."""
+        """Return whether the load of a runner is complete, or its order obsolete."""
         server = self._routing.backends.get(server_id)
         if server is None:
             return True
@@ -223,79 +238,83 @@
             report = await self._routing.client.report(server)
         except KeptBackError:
             return False
-        ordered = self._ordered.get(server_id)
-        if ordered is None:
+        pending = self._pending.get(server_id)
+        if pending is None:
             return True
-        if report is None or report.is_busy or report.layers != ordered.layers:
+        if report is None or report.is_busy or report.layers != pending.layers:
             return False
-        self._ordered[server_id] = ordered._replace(is_loading=False)
+        self._pending[server_id] = pending._replace(is_loading=False)
         return True
 
     def _planned_orders(
         self, service: ServiceSpec, servers: Mapping[str, BackendServer], now_s: float
     ) -> list[Order]:
-        """Return the orders that a service's plan asks for now."""
+        """Return the orders of a service's current plan."""
         if service.engine is None or self._routing.link_watch.is_lost(service.name):
             return []
         watch = self._watches[service.name]
-        self._has_empty |= any(one.layers is None for one in servers.values())
-        if not watch.is_settled(servers, ordered=self._ordered, now_s=now_s):
+        self._has_unassigned |= any(
+            server.layers is None for server in servers.values()
+        )
+        if not watch.is_settled(servers, ordered=self._pending, now_s=now_s):
             return []
-        situation = Situation(
+        plan_input = PlanInput(
             hosts=tuple(self._host(server) for server in servers.values()),
             engine=service.engine,
-            copying=watch.idle_for_long(servers, now_s=now_s).difference(
-                self._ordered, self._waiting
+            copy_candidates=watch.idle_for_long(servers, now_s=now_s).difference(
+                self._pending, self._delayed
             ),
-            is_repairing=watch.is_at_rest(servers, now_s=now_s),
+            allow_repair=watch.is_at_rest(servers, now_s=now_s),
         )
         plan = self._plans.plan(
-            service.name, situation, is_holder=self.is_holder, now_s=now_s
+            service.name, plan_input, is_holder=self.is_holder, now_s=now_s
         )
-        order = loading_order(
-            plan, situation.hosts, layer_count=service.engine.layer_count
+        server_ids = loading_order(
+            plan, plan_input.hosts, layer_count=service.engine.layer_count
         )
         return [
-            Order(service, servers[server_id], plan[server_id]) for server_id in order
+            Order(service, servers[server_id], plan[server_id])
+            for server_id in server_ids
         ]
 
     def _host(self, server: BackendServer) -> Host:
-        """Return a runner as placement sees it, with what it was ordered."""
-        expected = self._ordered.get(server.id) or self._waiting.get(server.id)
-        held = expected.layers if expected else server.layers
+        """Return the placement input for a runner, including its order."""
+        order = self._pending.get(server.id) or self._delayed.get(server.id)
+        held = order.layers if order else server.layers
         return Host(server.id, server.availability_zone, server.kind, held)
 
-    def _forget_rests(self, now_s: float) -> None:
-        """Forget the rests that are over."""
-        for server_id, until_s in list(self._rest_until_s.items()):
+    def _expire_cooldowns(self, now_s: float) -> None:
+        """Remove expired cooldowns."""
+        for server_id, until_s in list(self._cooldown_until_s.items()):
             if now_s >= until_s:
-                del self._rest_until_s[server_id]
+                del self._cooldown_until_s[server_id]
 
-    def _forget_done(self, now_s: float) -> None:
-        """Forget orders that the list shows or that took too long."""
-        for server_id, ordered in list(self._ordered.items()):
+    def _expire_pending(self, now_s: float) -> None:
+        """Remove orders that are complete, expired or lost."""
+        for server_id, pending in list(self._pending.items()):
             server = self._routing.backends.get(server_id)
-            if ordered.is_over(server, now_s=now_s):
-                del self._ordered[server_id]
+            if pending.is_finished(server, now_s=now_s):
+                del self._pending[server_id]
                 self._last_order_s = now_s
 
-    async def _give(self, orders: list[Order]) -> None:
-        """Give orders, some at a time."""
-        gate = asyncio.Semaphore(_ORDERS_AT_ONCE)
+    async def _send_orders(self, orders: list[Order]) -> None:
+        """Send orders with limited concurrency."""
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_ORDERS)
 
-        async def one(order: Order) -> None:
-            async with gate:
-                await self._give_one(order)
+        async def send(order: Order) -> None:
+            async with semaphore:
+                await self._send_order(order)
 
-        await asyncio.gather(*(one(order) for order in orders))
+        await asyncio.gather(*(send(order) for order in orders))
 
-    async def _give_one(self, order: Order) -> None:
-        """Order one runner to hold a range, if the list is right about it."""
+    async def _send_order(self, order: Order) -> None:
+        """Send an order to a runner, if its report matches the list."""
         server = order.server
         try:
             report = await self._routing.client.report(server)
         except KeptBackError:
-            self._note_failed(order)  # it has asked for rest, as the gate has logged
+            # The runner requested a back-off, which flow control has logged.
+            self._record_failed(order)
             return
         epoch = self._lease.epoch
         if epoch is None:
@@ -306,14 +325,14 @@
                 server_id=server.id,
                 reason="no report" if report is None else "busy",
             )
-            self._note_failed(order)
+            self._record_failed(order)
             return
         is_same_start = (
             report.started_ms in (0, server.started_ms) or not server.started_ms
         )
         if report.layers != server.layers or not is_same_start:
-            # The plan was made from an older list: a newer holder of the
-            # lease would undo what the one before has ordered.
+            # The plan is based on an outdated list: a new holder of the lease
+            # would revert orders of the previous holder.
             events.log(
                 events.ORDER_WITHHELD,
                 server_id=server.id,
@@ -322,41 +341,41 @@
                 reported=list(report.layers) if report.layers else None,
                 is_same_start=is_same_start,
             )
-            self._note_failed(order)
+            self._record_failed(order)
             return
-        answer = await self._routing.client.place(
+        result = await self._routing.client.place(
             server, order.layers, fence=epoch, expected_sequence=report.sequence
         )
         events.log(
-            events.ORDER_DONE if answer.is_accepted else events.ORDER_REFUSED,
+            events.ORDER_DONE if result.is_accepted else events.ORDER_REFUSED,
             server_id=server.id,
             layers=list(order.layers),
             epoch=epoch,
-            outcome=answer.outcome.value,
+            outcome=result.outcome.value,
         )
-        if answer.is_accepted:
-            self._note_taken(order)
+        if result.is_accepted:
+            self._record_accepted(order)
         else:
-            self._note_failed(order)
+            self._record_failed(order)
 
-    def _note_taken(self, order: Order) -> None:
-        """Wait for the list to show an order's outcome."""
+    def _record_accepted(self, order: Order) -> None:
+        """Track an accepted order until the list shows its outcome."""
         engine = order.service.engine
         assert engine is not None
         load_s = engine.expected_load_s(order.layers.size)
-        wait_s = _LIST_LAG_S + _LOAD_PATIENCE * load_s
+        wait_s = _LIST_LAG_S + _LOAD_TIMEOUT_FACTOR * load_s
         self._last_order_s = clocks.now_s()
         until_s = self._last_order_s + wait_s
-        self._waiting.note_taken(order)
-        self._ordered[order.server.id] = _Ordered(
+        self._delayed.record_accepted(order)
+        self._pending[order.server.id] = _PendingOrder(
             order.service.name,
             order.layers,
             until_s,
             order.server.lifetime,
-            is_loading=order.loads > 0,
+            is_loading=order.layers_to_load > 0,
         )
 
-    def _note_failed(self, order: Order) -> None:
-        """Leave a runner without orders for a while, and drop one that fails again."""
-        self._rest_until_s[order.server.id] = clocks.now_s() + _ORDER_REST_S
-        self._waiting.note_failed(order)
+    def _record_failed(self, order: Order) -> None:
+        """Start the cooldown of a runner, and count the failure of its order."""
+        self._cooldown_until_s[order.server.id] = clocks.now_s() + _ORDER_COOLDOWN_S
+        self._delayed.record_failed(order)
--- a/src/violethatch/_zone_repair.py
+++ b/src/violethatch/_zone_repair.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Making zones whole that lack layers, with the runners they have."""
+"""Repair of zones with missing layers, by reassigning their runners."""
 
 from __future__ import annotations
 
@@ -11,45 +11,49 @@
 from .layers import LayerRange
 
 
-def stretch_zones(hosts: Sequence[Host], engine: EngineSpec) -> dict[str, LayerRange]:
-    """Let neighbours of zones' holes take them over where they have the memory.
+def extend_neighbors(
+    hosts: Sequence[Host], engine: EngineSpec
+) -> dict[str, LayerRange]:
+    """Extend the ranges adjacent to gaps where memory allows.
 
-    Layers are only added, so that nothing under way is disturbed.
+    Layers are only added, so that requests in flight are not disrupted.
     """
     orders: dict[str, LayerRange] = {}
-    for inside in _zones(hosts):
-        holes = _holes(inside, engine)
-        if holes and any(host.held for host in inside):
-            orders |= _stretch_over(inside, holes, engine) or {}
-    return _changes(hosts, orders)
+    for in_zone in _hosts_by_zone(hosts):
+        gaps = _gaps(in_zone, engine)
+        if gaps and any(host.held for host in in_zone):
+            orders |= _fill_gaps(in_zone, gaps, engine) or {}
+    return _changed_orders(hosts, orders)
 
 
-def divide_zones(hosts: Sequence[Host], engine: EngineSpec) -> dict[str, LayerRange]:
-    """Divide zones anew that lack layers, if others hold the whole model meanwhile."""
+def redistribute_zones(
+    hosts: Sequence[Host], engine: EngineSpec
+) -> dict[str, LayerRange]:
+    """Redistribute zones with missing layers, if other zones hold the full model."""
     orders: dict[str, LayerRange] = {}
-    for inside in _zones(hosts):
-        if not _holes(inside, engine) or not any(host.held for host in inside):
+    for in_zone in _hosts_by_zone(hosts):
+        if not _gaps(in_zone, engine) or not any(host.held for host in in_zone):
             continue
-        ids = {host.id for host in inside}
+        ids = {host.id for host in in_zone}
         outside = [host for host in hosts if host.id not in ids]
-        if can_hold(inside, engine) and not _holes(outside, engine):
-            for chain in best_chains(inside, engine):
+        if can_hold(in_zone, engine) and not _gaps(outside, engine):
+            for chain in best_chains(in_zone, engine):
                 orders.update(chain.layers)
-    return _changes(hosts, orders)
+    return _changed_orders(hosts, orders)
 
 
-def _zones(hosts: Sequence[Host]) -> list[list[Host]]:
-    """Return the hosts of each zone."""
+def _hosts_by_zone(hosts: Sequence[Host]) -> list[list[Host]]:
+    """Group hosts by zone."""
     return [
         [host for host in hosts if host.availability_zone == zone]
         for zone in sorted({host.availability_zone for host in hosts})
     ]
 
 
-def _changes(
+def _changed_orders(
     hosts: Sequence[Host], orders: Mapping[str, LayerRange]
 ) -> dict[str, LayerRange]:
-    """Return the orders that change what hosts hold."""
+    """Return the orders that differ from the held ranges."""
     return {
         host.id: orders[host.id]
         for host in hosts
@@ -57,20 +61,20 @@
     }
 
 
-def _stretch_over(
-    hosts: Sequence[Host], holes: Sequence[LayerRange], engine: EngineSpec
+def _fill_gaps(
+    hosts: Sequence[Host], gaps: Sequence[LayerRange], engine: EngineSpec
 ) -> dict[str, LayerRange] | None:
-    """Let neighbours take all holes over; None if they lack the memory."""
+    """Extend adjacent ranges over all gaps; None if memory is insufficient."""
     orders: dict[str, LayerRange] = {}
-    for hole in holes:
+    for gap in gaps:
         best: dict[str, LayerRange] | None = None
         best_tokens = min_kv_tokens(engine)
         held = apply_orders(hosts, orders)
-        for split in range(hole.first, hole.end + 1):
-            option = _split_hole(held, hole, split)
+        for split in range(gap.first, gap.end + 1):
+            option = _split_gap(held, gap, split)
             if option is None:
                 continue
-            tokens = _least_room(hosts, option, engine)
+            tokens = _min_kv_capacity(hosts, option, engine)
             if tokens >= best_tokens:
                 best, best_tokens = option, tokens
         if best is None:
@@ -79,28 +83,28 @@
     return orders
 
 
-def _split_hole(
-    hosts: Sequence[Host], hole: LayerRange, split: int
+def _split_gap(
+    hosts: Sequence[Host], gap: LayerRange, split: int
 ) -> dict[str, LayerRange] | None:
-    """Give a hole's layers below *split* to the left and the others to the right."""
+    """Assign layers below *split* to the left neighbor, and others to the right."""
     option: dict[str, LayerRange] = {}
-    if split > hole.first:
-        left = [host for host in hosts if host.held and host.held.end == hole.first]
+    if split > gap.first:
+        left = [host for host in hosts if host.held and host.held.end == gap.first]
         if not left or left[0].held is None:
             return None
         option[left[0].id] = LayerRange(left[0].held.first, split)
-    if split < hole.end:
-        right = [host for host in hosts if host.held and host.held.first == hole.end]
+    if split < gap.end:
+        right = [host for host in hosts if host.held and host.held.first == gap.end]
         if not right or right[0].held is None:
             return None
         option[right[0].id] = LayerRange(split, right[0].held.end)
     return option
 
 
-def _least_room(
+def _min_kv_capacity(
     hosts: Sequence[Host], layers: Mapping[str, LayerRange], engine: EngineSpec
 ) -> float:
-    """Return the least tokens whose KV cache fits beside ranges."""
+    """Return the min KV cache capacity beside the assigned ranges, in tokens."""
     return min(
         kv_capacity_tokens(host, layers[host.id], engine)
         for host in hosts
@@ -108,15 +112,15 @@
     )
 
 
-def _holes(hosts: Sequence[Host], engine: EngineSpec) -> list[LayerRange]:
-    """Return the ranges that no host holds."""
+def _gaps(hosts: Sequence[Host], engine: EngineSpec) -> list[LayerRange]:
+    """Return the ranges without a holder."""
     covered = {layer for host in hosts if host.held for layer in range(*host.held)}
-    holes: list[LayerRange] = []
+    gaps: list[LayerRange] = []
     for layer in range(engine.layer_count):
         if layer in covered:
             continue
-        if holes and holes[-1].end == layer:
-            holes[-1] = LayerRange(holes[-1].first, layer + 1)
+        if gaps and gaps[-1].end == layer:
+            gaps[-1] = LayerRange(gaps[-1].first, layer + 1)
         else:
-            holes.append(LayerRange(layer, layer + 1))
-    return holes
+            gaps.append(LayerRange(layer, layer + 1))
+    return gaps
--- a/src/violethatch/layers.py
+++ b/src/violethatch/layers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Layer ranges, and how they tile a model.
+"""Layer ranges, and tiling of a model.
 
 .. versionadded:: 26.1.0
 """
@@ -21,11 +21,11 @@
 
     @property
     def size(self) -> int:
-        """How many layers it has."""
+        """Number of layers."""
         return self.end - self.first
 
     def covers(self, other: LayerRange) -> bool:
-        """Tell whether all layers of another range are in this one.
+        """Whether this range contains all layers of another.
 
         .. versionadded:: 26.2.0
         """
@@ -33,11 +33,11 @@
 
 
 def tiles(ranges: Sequence[LayerRange], *, layer_count: int) -> bool:
-    """Tell whether *ranges*, in order, cover each of the layers exactly once.
+    """Whether ordered *ranges* cover each layer exactly once.
 
     Args:
         ranges: The layer ranges of a route's stages, in order.
-        layer_count: How many layers the model has.
+        layer_count: Number of layers of the model.
 
     .. versionadded:: 26.1.0
     """
--- a/src/violethatch/slices.py
+++ b/src/violethatch/slices.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Long work in slices, between which the event loop runs.
+"""Time-sliced execution of long computations on the event loop.
 
-The work is a generator that yields between short steps and returns its result.
+A computation is a generator that yields between short steps and returns its result.
 
 .. versionadded:: 26.7.0
 """
@@ -17,33 +17,33 @@
 from . import clocks
 
 
-#: How long steps may follow each other without a pause, in seconds.
+#: Max time between yields to the event loop, in seconds.
 SLICE_S = 0.002
 
 T = TypeVar("T")
-#: Work in short steps.
+#: A computation in short steps.
 Steps = Generator[None, None, T]
 
 
 def run_whole(steps: Steps[T]) -> T:
-    """Run work at one go; return its result.
+    """Run a computation without yielding to the event loop; return its result.
 
     .. versionadded:: 26.7.0
     """
     while True:
         try:
             next(steps)
-        except StopIteration as end:
-            result: T = end.value
+        except StopIteration as stop:
+            result: T = stop.value
             return result
 
 
 class Slices:
-    """Runs work in slices, and notes how long these were.
+    """Runs computations in slices, and records their durations.
 
     Attributes:
-        count: How many there were.
-        longest_s: How long the longest one was, in seconds.
+        count: Number of slices.
+        longest_s: Duration of the longest slice, in seconds.
 
     .. versionadded:: 26.7.0
     """
@@ -51,43 +51,43 @@
     def __init__(self) -> None:
         self.count = 0
         self.longest_s = 0.0
-        self._began_s = clocks.now_s()
+        self._started_s = clocks.now_s()
 
     @property
     def took_s(self) -> float:
-        """The time since the work was begun, in seconds."""
-        return clocks.now_s() - self._began_s
+        """Time since creation, in seconds."""
+        return clocks.now_s() - self._started_s
 
     def run_whole(self, steps: Steps[T]) -> T:
-        """Run work at one go; return its result."""
+        """Run a computation without yielding to the event loop; return its result."""
         with self.at_one_go():
             return run_whole(steps)
 
     @contextlib.contextmanager
     def at_one_go(self) -> Iterator[None]:
-        """Count what is done at one go as a slice."""
-        began_s = clocks.now_s()
+        """Record the block as a single slice."""
+        started_s = clocks.now_s()
         try:
             yield
         finally:
-            self._note(clocks.now_s() - began_s)
+            self._record(clocks.now_s() - started_s)
 
     async def run(self, steps: Steps[T]) -> T:
-        """Run work; return its result."""
+        """Run a computation in slices; return its result."""
         while True:
-            began_s = clocks.now_s()
+            started_s = clocks.now_s()
             try:
                 next(steps)
-                while clocks.now_s() - began_s < SLICE_S:
+                while clocks.now_s() - started_s < SLICE_S:
                     next(steps)
-            except StopIteration as end:
-                result: T = end.value
+            except StopIteration as stop:
+                result: T = stop.value
                 return result
             finally:
-                self._note(clocks.now_s() - began_s)
+                self._record(clocks.now_s() - started_s)
             await asyncio.sleep(0)
 
-    def _note(self, held_s: float) -> None:
-        """Count a slice."""
+    def _record(self, duration_s: float) -> None:
+        """Record a slice."""
         self.count += 1
-        self.longest_s = max(self.longest_s, held_s)
+        self.longest_s = max(self.longest_s, duration_s)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -116,7 +116,7 @@
     async def test_no_order_under_a_lease_that_ran_out_meanwhile(self, suspend):
         """Others may hold it by now."""
         duty, client, _ = make_duty(FakeStore(), *FLEET)
-        await duty._look()
+        await duty._update()
         assert duty.is_holder
         suspend(4.0)
         assert not duty.is_holder
@@ -132,10 +132,10 @@
             return await real(server)
 
         client.report = slow_report
-        await duty._look()
+        await duty._update()
         assert client.placed == []
         client.report = real
-        await duty._look()
+        await duty._update()
         assert len(client.placed) == 3  # by a new lease, its epoch one higher
         assert {order[2] for order in client.placed} == {2}
 
--- a/tests/test_lease_after_restore.py
+++ b/tests/test_lease_after_restore.py
@@ -189,7 +189,7 @@
             rng=random.Random(1),
             era=era,
         )
-        assert await made.hold(clocks.now_s())
+        assert await made.acquire(clocks.now_s())
         store.is_restoring = True
         late_s = clocks.now_s() + RouterPolicySection().lease_duration_s / 2
         await made.renew(late_s)
--- a/tests/test_load_waves.py
+++ b/tests/test_load_waves.py
@@ -9,7 +9,7 @@
 
 from violethatch._hosts import Host
 from violethatch.layers import LayerRange
-from violethatch.load_waves import loading_order
+from violethatch.load_order import loading_order
 
 
 LAYERS = 80
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,7 +13,7 @@
 from routing_samples import KINDS, engine
 from violethatch import _chains, placement
 from violethatch._chains import best_chains, chain_requests_per_s, split_layers
-from violethatch._layer_needs import copied_layers
+from violethatch._layer_needs import layers_to_copy
 from violethatch.layers import LayerRange
 from violethatch.placement import Host, plan_placement
 
@@ -158,7 +158,7 @@
             Host("far", "z2", "small", LayerRange(40, 50)),
         ]
         spare = Host("spare", "z1", "small", None)
-        copied = copied_layers(spare, held, engine())
+        copied = layers_to_copy(spare, held, engine())
         assert copied.first <= 40
         assert copied.end >= 50
 
@@ -254,14 +254,14 @@
         lost = next(host for host in whole if host.held and host.kind == "medium")
         rest = [host for host in whole if host.id != lost.id]
         new = lost._replace(id="new", held=None)
-        plan = plan_placement([*rest, new], engine(), is_repairing=False)
+        plan = plan_placement([*rest, new], engine(), allow_repair=False)
         assert plan == {"new": lost.held}
 
     def test_replacement_waits_for_who_it_replaces(self, whole):
         """While nothing is lacking, an empty runner stays empty for a while."""
         new = Host("new", "z1", "medium", None)
         assert plan_placement([*whole, new], engine()) == {}
-        plan = plan_placement([*whole, new], engine(), copying={"new"})
+        plan = plan_placement([*whole, new], engine(), copy_candidates={"new"})
         assert plan.keys() == {"new"}
         assert_fits(placed([*whole, new], plan))
 
@@ -271,7 +271,7 @@
         lost = sole_holder(whole, copy.availability_zone)
         fleet = [host for host in whole if host.id != lost.id]
         fleet.append(copy._replace(id="copy"))
-        plan = plan_placement(fleet, engine(), is_repairing=False)
+        plan = plan_placement(fleet, engine(), allow_repair=False)
         assert len(plan) == 1
         assert lacking(placed(fleet, plan), copy.availability_zone) == set()
 
@@ -336,7 +336,7 @@
         asked = []
         monkeypatch.setattr(
             placement,
-            "lacking_layers",
+            "missing_layers",
             lambda host, *_: asked.append(host.id),
         )
         assert plan_placement(fleet, engine()) == {}
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -12,11 +12,11 @@
 from routing_samples import desired_state, runner
 from test_instances import directories, entry
 from violethatch import (
+    _delayed_orders,
     _fleet_watch,
     _placement_lease,
     _placement_plans,
     _placing,
-    _waiting_orders,
     clocks,
 )
 from violethatch._placement_lease import LeaseWrite
@@ -59,7 +59,7 @@
 def quick(monkeypatch):
     """Let nobody wait for long."""
     monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
-    monkeypatch.setattr(_placement_lease, "_SPREAD_S", 0.0)
+    monkeypatch.setattr(_placement_lease, "_MAX_JITTER_S", 0.0)
     monkeypatch.setattr(_placing, "_RESIGN_PAUSE_S", 0.0)
     monkeypatch.setattr(_fleet_watch, "_REPAIR_REST_S", 0.0)
 
@@ -91,7 +91,7 @@
     async def test_empty_fleet_is_divided(self):
         """Each runner gets one order, with the lease's epoch as its fence."""
         duty, client, _ = make_duty(FakeStore(), *FLEET)
-        await duty._look()
+        await duty._update()
         assert {order[0] for order in client.placed} == {"a", "b", "c"}
         assert {order[2:] for order in client.placed} == {(1, 4)}
 
@@ -99,7 +99,7 @@
         """While an order is under way, it is not given again."""
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         for _ in range(3):
-            await duty._look()
+            await duty._update()
         assert len(client.placed) == 3
 
     async def test_list_and_runner_have_to_agree(self):
@@ -107,7 +107,7 @@
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         layers = runner("x", 0, 9).layers
         client.reports["a"] = report(layers=layers)
-        await duty._look()
+        await duty._update()
         assert {order[0] for order in client.placed} == {"b", "c"}
 
     async def test_order_is_for_the_start_that_is_listed(self):
@@ -117,33 +117,33 @@
         for one in listed:
             client.reports[one.id] = client.reports[one.id]._replace(started_ms=100)
         client.reports["a"] = client.reports["a"]._replace(started_ms=200)
-        await duty._look()
+        await duty._update()
         assert {order[0] for order in client.placed} == {"b", "c"}
 
     async def test_start_before_is_not_waited_for(self):
         """A runner that has started again knows nothing of its order."""
         duty, _, routing = make_duty(FakeStore(), *FLEET)
-        await duty._look()
-        assert "a" in duty._ordered
+        await duty._update()
+        assert "a" in duty._pending
         again = FLEET[0]._replace(started_ms=200)
         routing.backends.apply_changes([again], [], now_s=clocks.now_s())
-        await duty._look()
-        assert set(duty._ordered) == {"b", "c"}
+        await duty._update()
+        assert set(duty._pending) == {"b", "c"}
 
     @pytest.mark.parametrize("answer", [None, report(is_busy=True)])
     async def test_silent_or_busy_runner_waits(self, answer):
         """A runner that can't be asked, or is busy, gets no order now."""
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         client.reports["a"] = answer
-        await duty._look()
+        await duty._update()
         assert "a" not in {order[0] for order in client.placed}
 
     async def test_refused_order_is_not_repeated_at_once(self):
         """A runner that refused rests before the next order."""
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         client.place_outcome = OrderAnswer(OrderOutcome.CONFLICT)
-        await duty._look()
-        await duty._look()
+        await duty._update()
+        await duty._update()
         assert len(client.placed) == 3
 
     async def test_plan_is_made_once_for_a_situation(self, monkeypatch):
@@ -161,17 +161,17 @@
             lambda *args, **options: made.append(1) or plan(*args, **options),
         )
         for _ in range(5):
-            await duty._look()
+            await duty._update()
         assert len(made) == 1
         routing.backends.apply_changes([runner("c", kind="large")], [], now_s=0.0)
-        await duty._look()
+        await duty._update()
         assert len(made) == 2
 
     async def test_nothing_before_the_list_settles(self, monkeypatch):
         """An empty fleet is divided once its list rests."""
         monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 60.0)
         duty, client, _ = make_duty(FakeStore(), *FLEET)
-        await duty._look()
+        await duty._update()
         assert client.placed == []
 
 
@@ -182,19 +182,19 @@
         planned = []
         for directory in made.values():
             duty, client, _ = make_duty(FakeStore(), *FLEET, directory=directory)
-            await duty._look()
+            await duty._update()
             planned.append(bool(client.placed))
         assert planned.count(True) == 3
 
     async def test_others_follow_if_nothing_happens(self, monkeypatch):
         """Those whose turn is later plan if the first ones are gone."""
-        monkeypatch.setattr(_placement_plans, "_TURN_S", 0.001)
+        monkeypatch.setattr(_placement_plans, "_RANK_DELAY_S", 0.001)
         made = directories([entry(f"i{n}") for n in range(20)])
         for directory in made.values():
             duty, client, _ = make_duty(FakeStore(), *FLEET, directory=directory)
-            await duty._look()
+            await duty._update()
             await asyncio.sleep(0.03)
-            await duty._look()
+            await duty._update()
             assert client.placed
 
 
@@ -204,24 +204,24 @@
         store = FakeStore()
         first, _, _ = make_duty(store, *FLEET, name="one")
         second, client, _ = make_duty(store, *FLEET, name="two")
-        await first._look()
-        await second._look()
+        await first._update()
+        await second._update()
         assert client.placed == []
 
     async def test_done_duty_is_given_back(self):
         """When the list shows what was ordered, the lease is free at once."""
         store = FakeStore()
         duty, client, routing = make_duty(store, *FLEET)
-        await duty._look()
+        await duty._update()
         done = [
             runner(name, *layers, kind="large") for name, layers, _, _ in client.placed
         ]
         routing.backends.apply_changes(done, [], now_s=clocks.now_s())
-        await duty._look()
-        await duty._look()
+        await duty._update()
+        await duty._update()
         assert not duty.is_holder
         other, client, _ = make_duty(store, *FLEET, name="two")
-        await other._look()
+        await other._update()
         assert {order[2] for order in client.placed} == {2}
 
     async def test_dead_holder_is_succeeded_with_a_higher_fence(self):
@@ -229,11 +229,11 @@
         store = FakeStore()
         policy = {"lease_duration_s": "0.2", "lease_margin_s": "0.1"}
         first, _, _ = make_duty(store, *FLEET, name="one", **policy)
-        await first._look()
+        await first._update()
         second, client, _ = make_duty(store, *FLEET, name="two", **policy)
         async with asyncio.timeout(5):
             while not client.placed:
-                await second._look()
+                await second._update()
                 await asyncio.sleep(0.02)
         assert {order[2] for order in client.placed} == {2}
 
@@ -242,10 +242,10 @@
         store = FakeStore()
         policy = {"lease_duration_s": "0.1", "lease_margin_s": "0.05"}
         duty, client, _ = make_duty(store, *FLEET, **policy)
-        assert await duty._lease.hold(clocks.now_s())
+        assert await duty._lease.acquire(clocks.now_s())
         await asyncio.sleep(0.1)
         plans = duty._due_orders(clocks.now_s())
-        await duty._give(plans)
+        await duty._send_orders(plans)
         assert client.placed == []
 
     async def test_lost_answer_is_found_by_reading(self):
@@ -253,9 +253,9 @@
         store = FakeStore()
         store.lose_answers = 1
         duty, client, _ = make_duty(store, *FLEET)
-        await duty._look()
+        await duty._update()
         assert client.placed == []
-        await duty._look()
+        await duty._update()
         assert {order[2] for order in client.placed} == {1}
 
     async def test_no_orders_without_the_store(self):
@@ -264,7 +264,7 @@
         store.is_away = True
         duty, client, _ = make_duty(store, *FLEET)
         with pytest.raises(TableUnavailableError):
-            await duty._look()
+            await duty._update()
         assert client.placed == []
 
     async def test_fleet_at_rest_costs_no_calls(self):
@@ -277,7 +277,7 @@
         ]
         duty, _, _ = make_duty(store, *whole)
         for _ in range(5):
-            await duty._look()
+            await duty._update()
         assert store.reads == 0
 
 
@@ -303,7 +303,7 @@
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         duty.desired = LOADING
         for _ in range(3):
-            await duty._look()
+            await duty._update()
         assert len(client.placed) == 1
 
     async def test_next_load_begins_once_one_has_ended(self):
@@ -311,19 +311,19 @@
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         duty.desired = LOADING
         for count in (1, 2, 3):
-            await duty._look()
+            await duty._update()
             assert len(client.placed) == count
             loaded(client, duty)
 
     async def test_same_plan_is_carried_on(self):
         """Guards against a fleet that is planned anew from what was loaded first."""
         together, client, _ = make_duty(FakeStore(), *FLEET)
-        await together._look()
+        await together._update()
         planned = {order[0]: order[1] for order in client.placed}
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         duty.desired = LOADING
         for _ in range(3):
-            await duty._look()
+            await duty._update()
             loaded(client, duty)
         assert {order[0]: order[1] for order in client.placed} == planned
 
@@ -331,13 +331,13 @@
         """Guards against waiting orders that leave a gone runner's layers out."""
         duty, client, routing = make_duty(FakeStore(), *FLEET)
         duty.desired = LOADING
-        await duty._look()
-        waiting = next(iter(duty._waiting))
+        await duty._update()
+        waiting = next(iter(duty._delayed))
         routing.backends.apply_changes([], [waiting], now_s=clocks.now_s())
         loaded(client, duty)
-        await duty._look()
-        assert waiting not in duty._waiting
-        assert all(waiting not in ids for ids in duty._waiting._planned_for.values())
+        await duty._update()
+        assert waiting not in duty._delayed
+        assert all(waiting not in ids for ids in duty._delayed._planned_ids.values())
 
     async def test_orders_follow_the_list_that_the_lease_was_won_under(self):
         """Guards against orders of a plan that changed while the lease was awaited."""
@@ -350,7 +350,7 @@
             return await read_row(key)
 
         store.read_row = change_and_read
-        await duty._look()
+        await duty._update()
         assert "a" not in {order[0] for order in client.placed}
 
     async def test_order_that_fails_again_is_dropped(self):
@@ -358,27 +358,27 @@
         duty, client, _ = make_duty(FakeStore(), *FLEET)
         duty.desired = LOADING
         client.place_outcome = OrderAnswer(OrderOutcome.CONFLICT)
-        for _ in range(_waiting_orders._MAX_FAILURES * len(FLEET)):
-            await duty._look()
-            duty._rest_until_s.clear()
-        assert not duty._waiting
+        for _ in range(_delayed_orders._MAX_FAILURES * len(FLEET)):
+            await duty._update()
+            duty._cooldown_until_s.clear()
+        assert not duty._delayed
 
 
 class TestEarlyObservation:
     async def test_gone_holders_time_runs_while_the_list_settles(self, monkeypatch):
         """Guards against a return that waits for the list and then for the lease."""
         monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 60.0)
-        monkeypatch.setattr(_placement_lease, "_TRY_PAUSE_S", 0.0)
+        monkeypatch.setattr(_placement_lease, "_RETRY_INTERVAL_S", 0.0)
         store = FakeStore()
         policy = {"lease_duration_s": "0.2", "lease_margin_s": "0.1"}
         gone, _, _ = make_duty(store, *FLEET, name="gone", **policy)
-        assert await gone._lease.hold(clocks.now_s())
+        assert await gone._lease.acquire(clocks.now_s())
         directory = directories([entry("i1"), entry("i2")])["i1"]
         duty, client, _ = make_duty(store, *FLEET, directory=directory, **policy)
-        await duty._look()
+        await duty._update()
         await asyncio.sleep(0.25)
         monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
-        await duty._look()
+        await duty._update()
         assert len(client.placed) == len(FLEET)
 
     async def test_row_is_read_once(self, monkeypatch):
@@ -388,7 +388,7 @@
         directory = directories([entry("i1"), entry("i2")])["i1"]
         duty, _, _ = make_duty(store, *FLEET, directory=directory)
         for _ in range(5):
-            await duty._look()
+            await duty._update()
         assert store.reads == 1
 
     async def test_instances_that_start_together_do_not_all_read(self, monkeypatch):
@@ -397,5 +397,5 @@
         store = FakeStore()
         directory = directories([entry("i1")])["i1"]
         duty, _, _ = make_duty(store, *FLEET, directory=directory)
-        await duty._look()
+        await duty._update()
         assert store.reads == 0
