--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -213,10 +213,10 @@
             except NotAdmittedError as error:
                 assert error.ran == "no"
                 assert error.retry_after_s == pytest.approx(1.0, abs=0.05)
-        ((_, priority, starts_per_s, most_s), *_) = bench.returns.slots
+        ((_, priority, starts_per_s, max_delay_s), *_) = bench.returns.slots
         assert priority == LEAST
         assert starts_per_s == FREE.starts_per_s / 8
-        assert most_s == pytest.approx(1.0, abs=0.05)
+        assert max_delay_s == pytest.approx(1.0, abs=0.05)
 
     async def test_reserved_start_is_used_without_a_draw(self):
         bench = Bench()
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -13,7 +13,7 @@
 
 from mortal_fleet import Network, instance_entries
 from own_ports import free_ports
-from violethatch import _return_link, clocks
+from violethatch import _reservation_link, clocks
 from violethatch._peer_datagrams import (
     ClaimDatagram,
     ClaimedDatagram,
@@ -337,7 +337,7 @@
             )
             zones.cut(*zones.keepers(of))
             link = zones.links[zones.zone[0]]
-            most = _return_link._MOST_ASKED
+            most = _reservation_link._MOST_ASKED
             claims = [asyncio.ensure_future(link.claim(of)) for _ in range(2 * most)]
             await asyncio.sleep(0.01)
             assert len(link._asked) == most
@@ -353,12 +353,12 @@
         async def part():
             zones = Zones(24)
             one, other = zones.zone[:2]
-            for number in range(3 * _return_link._MOST_ANSWERS):
+            for number in range(3 * _reservation_link._MOST_ANSWERS):
                 token = zones.own[other].token
                 zones.send(one, other, ClaimDatagram(token, one, number, WORK))
             await asyncio.sleep(0.1)
             link = zones.links[other]
-            assert len(link._answers) == _return_link._MOST_ANSWERS
+            assert len(link._answers) == _reservation_link._MOST_ANSWERS
 
         play(part)
 
@@ -476,7 +476,7 @@
 
         The time for answers is tested in virtual time; here the machine may be busy.
         """
-        monkeypatch.setattr(_return_link, "_ANSWER_S", 1.0)
+        monkeypatch.setattr(_reservation_link, "_ANSWER_S", 1.0)
         entries = {
             f"i{n}": one._replace(address=f"127.0.0.1:{port}")
             for (n, port), one in zip(
