--- a/src/violethatch/_fleet_watch.py
+++ b/src/violethatch/_fleet_watch.py
@@ -67,7 +67,7 @@
         is_at_rest = now_s - self._empty_changed_s >= _SETTLE_S
         return is_at_rest or now_s - self._unheld_since_s >= _SETTLE_LIMIT_S
 
-    def is_at_rest(self, servers: Mapping[str, BackendServer], *, now_s: float) -> bool:
+    def is_stable(self, servers: Mapping[str, BackendServer], *, now_s: float) -> bool:
         """Tell whether the list has not changed for a while."""
         ids = frozenset(servers)
         if ids != self._last_ids:
@@ -75,7 +75,7 @@
             self._last_ids_s = now_s
         return now_s - self._last_ids_s >= _REPAIR_REST_S
 
-    def idle_for_long(
+    def long_idle(
         self, servers: Mapping[str, BackendServer], *, now_s: float
     ) -> frozenset[str]:
         """Return the runners that nobody has needed for a while."""
--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placing.py
@@ -261,10 +261,10 @@
         plan_input = PlanInput(
             hosts=tuple(self._host(server) for server in servers.values()),
             engine=service.engine,
-            copy_candidates=watch.idle_for_long(servers, now_s=now_s).difference(
+            copy_candidates=watch.long_idle(servers, now_s=now_s).difference(
                 self._pending, self._delayed
             ),
-            allow_repair=watch.is_at_rest(servers, now_s=now_s),
+            allow_repair=watch.is_stable(servers, now_s=now_s),
         )
         plan = self._plans.plan(
             service.name, plan_input, is_holder=self.is_holder, now_s=now_s
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -42,13 +42,13 @@
 
     def __init__(self, *, grace_s: float) -> None:
         self.grace_s = grace_s
-        self.asked_s: float | None = None
+        self.requested_s: float | None = None
         self._is_closing = False
 
-    def ask(self, *, now_s: float) -> None:
+    def request_stop(self, *, now_s: float) -> None:
         """Note that the stop was asked for."""
-        if self.asked_s is None:
-            self.asked_s = now_s
+        if self.requested_s is None:
+            self.requested_s = now_s
 
     def close(self) -> None:
         """Note that nothing more is taken: what is under way ends, then all closes."""
@@ -57,7 +57,7 @@
     @property
     def is_stopping(self) -> bool:
         """Whether the stop was asked for."""
-        return self.asked_s is not None
+        return self.requested_s is not None
 
     def refusal(
         self,
@@ -79,9 +79,9 @@
         """
         if self._is_closing:
             return "the instance closes its connections"
-        if self.asked_s is None:
+        if self.requested_s is None:
             return None
-        since_s = now_s - self.asked_s
+        since_s = now_s - self.requested_s
         taken_s = self.grace_s - _CALLS_MARGIN_S
         if is_stream:
             taken_s = min(_STREAMS_TAKEN_S, taken_s)
@@ -96,9 +96,9 @@
 
     def left_s(self, *, now_s: float) -> float:
         """Return how long the process may still run, in seconds."""
-        if self.asked_s is None:
+        if self.requested_s is None:
             return float("inf")
-        return max(0.0, self.asked_s + self.grace_s - _LEAVE_MARGIN_S - now_s)
+        return max(0.0, self.requested_s + self.grace_s - _LEAVE_MARGIN_S - now_s)
 
 
 def _longest_of_part(times_s: Sequence[float], part: float) -> float:
--- a/src/violethatch/leases.py
+++ b/src/violethatch/leases.py
@@ -29,7 +29,7 @@
 _LONGEST_S = 600.0
 #: The epochs left out for each restore of the store, more than its copy can be behind:
 #: a grant takes some tenths of a second, and a copy is some seconds old.
-EPOCHS_A_RESTORE = 1000
+EPOCHS_PER_RESTORE = 1000
 
 
 class LeaseValue(TypedDict):
@@ -171,7 +171,7 @@
 
     def _lost_epochs(self) -> int:
         """Return how many epochs to leave out for grants that a restore has lost."""
-        return EPOCHS_A_RESTORE * max(0, self.era - max(0, self._row_era()))
+        return EPOCHS_PER_RESTORE * max(0, self.era - max(0, self._row_era()))
 
     def _row_era(self) -> int:
         """Return the store's era in which the row was written, if it tells."""
