--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placement_controller.py
@@ -73,7 +73,7 @@
         return server.layers == self.layers or now_s >= self.deadline_s
 
 
-class PlacementDuty:
+class PlacementController:
     """Keeps all layers of the models assigned, by orders under a lease.
 
     Args:
@@ -115,7 +115,7 @@
         """Whether this process holds the lease."""
         return self._lease.is_held
 
-    def take_policy(self, policy: RouterPolicySection) -> None:
+    def update_policy(self, policy: RouterPolicySection) -> None:
         """Apply changed lease durations."""
         self._lease.update_policy(policy)
 
--- a/src/violethatch/slices.py
+++ b/src/violethatch/slices.py
@@ -25,7 +25,7 @@
 Steps = Generator[None, None, T]
 
 
-def run_whole(steps: Steps[T]) -> T:
+def run_to_completion(steps: Steps[T]) -> T:
     """Run a computation without yielding to the event loop; return its result.
 
     .. versionadded:: 26.7.0
@@ -50,21 +50,21 @@
 
     def __init__(self) -> None:
         self.count = 0
-        self.longest_s = 0.0
+        self.max_slice_s = 0.0
         self._started_s = clocks.now_s()
 
     @property
-    def took_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Time since creation, in seconds."""
         return clocks.now_s() - self._started_s
 
-    def run_whole(self, steps: Steps[T]) -> T:
+    def run_to_completion(self, steps: Steps[T]) -> T:
         """Run a computation without yielding to the event loop; return its result."""
-        with self.at_one_go():
-            return run_whole(steps)
+        with self.unsliced():
+            return run_to_completion(steps)
 
     @contextlib.contextmanager
-    def at_one_go(self) -> Iterator[None]:
+    def unsliced(self) -> Iterator[None]:
         """Record the block as a single slice."""
         started_s = clocks.now_s()
         try:
@@ -90,4 +90,4 @@
     def _record(self, duration_s: float) -> None:
         """Record a slice."""
         self.count += 1
-        self.longest_s = max(self.longest_s, duration_s)
+        self.max_slice_s = max(self.max_slice_s, duration_s)
