--- a/src/violethatch/slices.py
+++ b/src/violethatch/slices.py
@@ -43,7 +43,7 @@
 
     Attributes:
         count: Number of slices.
-        longest_s: Duration of the longest slice, in seconds.
+        max_slice_s: Duration of the longest slice, in seconds.
 
     .. versionadded:: 26.7.0
     """
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -14,9 +14,9 @@
 from violethatch import (
     _delayed_orders,
     _fleet_watch,
+    _placement_controller,
     _placement_lease,
     _placement_plans,
-    _placing,
     clocks,
 )
 from violethatch._placement_controller import PlacementController
@@ -60,7 +60,7 @@
     """Let nobody wait for long."""
     monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
     monkeypatch.setattr(_placement_lease, "_MAX_JITTER_S", 0.0)
-    monkeypatch.setattr(_placing, "_RESIGN_PAUSE_S", 0.0)
+    monkeypatch.setattr(_placement_controller, "_RESIGN_PAUSE_S", 0.0)
     monkeypatch.setattr(_fleet_watch, "_REPAIR_REST_S", 0.0)
 
 
