--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -21,7 +21,7 @@
 
 
 #: Writes of one transaction.
-_BATCH_MOST = 100
+_MAX_BATCH_WRITES = 100
 
 
 class RowWriter(Protocol):
@@ -37,7 +37,7 @@
 
 
 #: A write and the future of its outcome.
-_Waiting = tuple[Put, "asyncio.Future[Row | None]"]
+_PendingWrite = tuple[Put, "asyncio.Future[Row | None]"]
 
 
 class ClaimWriter:
@@ -52,8 +52,8 @@
     def __init__(self, table: Table, *, interval_s: float, give_up_s: float) -> None:
         self._table = table
         self._interval_s = interval_s
-        self._give_up_s = give_up_s
-        self._queue: list[_Waiting] = []
+        self._retry_timeout_s = give_up_s
+        self._queue: list[_PendingWrite] = []
         self._wake = asyncio.Event()
 
     async def write(self, put: Put) -> Row | None:
@@ -82,26 +82,26 @@
                 pause_s = self._interval_s - (clocks.now_s() - started_s)
                 await asyncio.sleep(max(0.0, pause_s))
 
-    def _take_batch(self) -> list[_Waiting]:
+    def _take_batch(self) -> list[_PendingWrite]:
         """Take writes of different rows off the queue, in order.
 
         Two writes of one row must not share a transaction: each has to see
         what the other did.
         """
-        taken: dict[str, _Waiting] = {}
+        taken: dict[str, _PendingWrite] = {}
         left = []
         for waiting in self._queue:
-            if len(taken) < _BATCH_MOST and waiting[0].key not in taken:
+            if len(taken) < _MAX_BATCH_WRITES and waiting[0].key not in taken:
                 taken[waiting[0].key] = waiting
             else:
                 left.append(waiting)
         self._queue = left
         return list(taken.values())
 
-    async def _write_batch(self, batch: list[_Waiting]) -> None:
+    async def _write_batch(self, batch: list[_PendingWrite]) -> None:
         """Write a batch; those with conflicts drop out and the rest goes again."""
         may_be_written = False
-        give_up_s = clocks.now_s() + self._give_up_s
+        give_up_s = clocks.now_s() + self._retry_timeout_s
         while batch:
             error: Exception
             try:
@@ -111,7 +111,7 @@
             except TableUnavailableError as unavailable:
                 error = unavailable
             else:
-                batch = _settle(batch, conflicts)
+                batch = _resolve_writes(batch, conflicts)
                 continue
             if not may_be_written or clocks.now_s() > give_up_s:
                 # Not written for certain only if no try's answer was lost.
@@ -124,7 +124,7 @@
             await asyncio.sleep(self._interval_s)
 
 
-def _settle(batch: list[_Waiting], conflicts: list[Row]) -> list[_Waiting]:
+def _resolve_writes(batch: list[_PendingWrite], conflicts: list[Row]) -> list[_PendingWrite]:
     """Resolve what a transaction decided; return what has to go again."""
     in_the_way = {row.key: row for row in conflicts}
     remaining = []
@@ -178,7 +178,7 @@
         forward: Callable[[str, Sequence[Put]], Awaitable[Sequence[WriteReply] | None]],
     ) -> None:
         self._local = local
-        self._chosen = chosen
+        self._writer_id = chosen
         self._own_id = own_id
         self._forward = forward
         self._queue: list[tuple[Put, asyncio.Future[WriteReply | None]]] = []
@@ -191,14 +191,14 @@
             TableUnavailableError: It was not written and won't be.
             AnswerLostError: It may have been written, or may yet be.
         """
-        if self._chosen() == self._own_id:
+        if self._writer_id() == self._own_id:
             return await self._local.write(put)
         future = asyncio.get_running_loop().create_future()
         self._queue.append((put, future))
         self._wake.set()
         reply: WriteReply | None = await future
         if reply is None:
-            return await self._write_anyway(put)
+            return await self._write_after_forward(put)
         if reply.failure == "unavailable":
             raise TableUnavailableError(retry_after_s=2.0)
         if reply.failure:
@@ -212,7 +212,7 @@
             await self._wake.wait()
             self._wake.clear()
             batch, self._queue = self._queue, []
-            chosen = self._chosen()
+            chosen = self._writer_id()
             replies = None
             if chosen != self._own_id:
                 replies = await self._forward(chosen, [put for put, _ in batch])
@@ -220,7 +220,7 @@
                 if not future.done():
                     future.set_result(replies[number] if replies else None)
 
-    async def _write_anyway(self, put: Put) -> Row | None:
+    async def _write_after_forward(self, put: Put) -> Row | None:
         """Write what a peer may have written, or may yet write."""
         try:
             return await self._local.write(put)
--- a/src/violethatch/_fleet.py
+++ b/src/violethatch/_fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The runners that an instance is connected to, and the choice among them."""
+"""Connections of an instance to runners, and route selection over them."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from .settings import InstanceSection, PolicySection
 
 
-#: How long a runner may send nothing, in heartbeat intervals of ours.
+#: Receive timeout of a runner's connection, in heartbeat intervals of this instance.
 _SILENCE_HEARTBEATS = 3.0
-#: How often to look for overdue steps, in seconds.
-_SWEEP_INTERVAL_S = 0.05
+#: Interval between checks for overdue steps, in seconds.
+_STEP_CHECK_INTERVAL_S = 0.05
 
 
 class RunnerState(TypedDict):
-    """A runner as the state dump shows it."""
+    """State of a runner in the state dump."""
 
     runner_id: str
     connected: bool
@@ -49,7 +49,7 @@
 
 
 def make_policy(name: str, rng: random.Random) -> RoutePolicy:
-    """Return the route policy of that name in the settings."""
+    """Return the route policy for its name in the settings."""
     if name == "random":
         return RandomHops(rng)
     if name == "round_robin":
@@ -60,12 +60,12 @@
 
 
 class Fleet:
-    """Connections to runners; routes over them.
+    """Maintains connections to runners and selects routes over them.
 
     Args:
-        policy: The constants of the decisions.
-        instance: Who and where this instance is.
-        rng: Randomness for policies that need it.
+        policy: Settings of routing and failure detection.
+        instance: Id and availability zone of this instance.
+        rng: Random number generator of randomized policies.
     """
 
     def __init__(
@@ -81,34 +81,35 @@
         self.marks = LeavingMarks()
 
     async def start(self) -> None:
-        """Prepare for connections."""
+        """Create the HTTP session and start the step check."""
         connector = aiohttp.TCPConnector(limit=0)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=1.0)
         self._session = aiohttp.ClientSession(connector=connector, timeout=timeout)
-        self._sweeper = asyncio.create_task(self._sweep_loop())
+        self._step_checker = asyncio.create_task(self._check_steps_loop())
 
     async def stop(self) -> None:
         """Close all connections."""
-        tasks = [self._sweeper, *self._tasks.values()]
+        tasks = [self._step_checker, *self._tasks.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         if self._session is not None:
             await self._session.close()
 
-    async def _sweep_loop(self) -> None:
-        """Look for overdue steps on all connections."""
+    async def _check_steps_loop(self) -> None:
+        """Periodically check all connections for overdue steps."""
         while True:
-            await asyncio.sleep(_SWEEP_INTERVAL_S)
+            await asyncio.sleep(_STEP_CHECK_INTERVAL_S)
             now_s = clocks.now_s()
             for link in self._links.values():
                 link.check_timeouts(now_s)
 
     def follow(self, listed: Iterable[ListedInstance]) -> None:
-        """Connect to the runners in the list that this instance watches.
+        """Connect to the listed runners that are assigned to this instance.
 
-        Another one is kept without new work while its connection is up: the
-        list lags, and a stream may still be running.
+        A runner that isn't assigned any more gets no new work, but keeps its
+        connection while that is up: the list may be stale, and a stream may be in
+        flight.
         """
         runners = {entry["id"]: entry for entry in listed if entry["role"] == "engine"}
         watched = watched_runners(
@@ -118,25 +119,30 @@
             remote_limit=self._policy.remote_runners,
         )
         for runner_id in watched:
-            self._follow_one(runners[runner_id])
+            self._connect(runners[runner_id])
             self._mark(runner_id, "list", runners[runner_id]["leaving"])
         for runner_id in set(self._links) - watched:
             self._mark(runner_id, "list", True)
             link = self._links[runner_id]
             if link.hello is None and link.load_view.own == 0:
-                self._drop(runner_id)
+                self._remove(runner_id)
 
     def follow_operators(self, leaving: Collection[str]) -> None:
-        """Mark the runners that operators take out, and lift other marks."""
+        """Mark the runners that operators drain, and clear their other marks."""
         for runner_id in self._links:
             self._mark(runner_id, "operator", runner_id in leaving)
 
     def choose_route(
         self, model: str, version: str, *, layer_count: int, excluded: Collection[str]
     ) -> tuple[Candidate, ...] | None:
-        """Return a route through a model's layers, or None."""
+        """Return a route through a model's layers, or None if there is none.
+
+        Excluded runners are used only if there is no route without them.
+        """
         candidates = self._candidates(model, version)
-        preferred = [item for item in candidates if item.runner_id not in excluded]
+        preferred = [
+            candidate for candidate in candidates if candidate.runner_id not in excluded
+        ]
         return self._route_policy.choose(
             preferred, layer_count=layer_count
         ) or self._route_policy.choose(candidates, layer_count=layer_count)
@@ -144,18 +150,20 @@
     def choose_replacement(
         self, model: str, version: str, layers: LayerRange, *, excluded: Collection[str]
     ) -> Candidate | None:
-        """Return the best runner with exactly these layers, or None."""
-        same = [
-            item._replace(layers=LayerRange(0, 1))
-            for item in self._candidates(model, version)
-            if item.layers == layers
+        """Return the preferred runner with exactly these layers, or None."""
+        matching = [
+            candidate._replace(layers=LayerRange(0, 1))
+            for candidate in self._candidates(model, version)
+            if candidate.layers == layers
+        ]
+        preferred = [
+            candidate for candidate in matching if candidate.runner_id not in excluded
         ]
-        preferred = [item for item in same if item.runner_id not in excluded]
-        chosen = self._route_policy.choose(preferred or same, layer_count=1)
+        chosen = self._route_policy.choose(preferred or matching, layer_count=1)
         return chosen[0]._replace(layers=layers) if chosen else None
 
     async def wait_changed(self, timeout_s: float) -> None:
-        """Wait until some runner's state changes, at most *timeout_s*."""
+        """Wait up to *timeout_s* until the state of a runner changes."""
         self._changed.clear()
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
@@ -163,26 +171,26 @@
             return
 
     def open(self, runner_id: str) -> EngineLink:
-        """Count a stream in; return the connection to its runner."""
+        """Count a new stream and return the connection to its runner."""
         link = self._links[runner_id]
         link.load_view.opened(now_s=clocks.now_s())
         return link
 
     def close(self, link: EngineLink, request: str, epoch: int) -> None:
-        """Count a stream out and let the runner forget it."""
+        """Remove a stream from the count and cancel it on its runner."""
         link.load_view.closed(now_s=clocks.now_s())
         link.cancel(request, epoch)
 
     def refused_as_leaving(self, runner_id: str) -> None:
-        """Note that a runner refused a request because it is leaving."""
+        """Record that a runner rejected a request because it is draining."""
         self._mark(runner_id, "refusal", True)
 
     def links(self) -> list[EngineLink]:
-        """Return the connections."""
+        """Return all connections."""
         return list(self._links.values())
 
     def state(self) -> list[RunnerState]:
-        """Return what is known of each runner."""
+        """Return the state of each runner."""
         return [self._runner_state(link) for link in self._links.values()]
 
     def _runner_state(self, link: EngineLink) -> RunnerState:
@@ -201,7 +209,7 @@
         )
 
     def _candidates(self, model: str, version: str) -> list[Candidate]:
-        """Return the runners that may get new work for a model's version."""
+        """Return the runners eligible for new work of a model's version."""
         return [
             Candidate(
                 runner_id=link.runner_id,
@@ -219,15 +227,15 @@
             and not self.marks.is_leaving(link.runner_id)
         ]
 
-    def _follow_one(self, entry: ListedInstance) -> None:
-        """Connect to a runner, anew if its address has changed."""
+    def _connect(self, entry: ListedInstance) -> None:
+        """Connect to a runner; reconnect if its address has changed."""
         runner_id = entry["id"]
         url = f"http://{entry['address']}/engine"
         link = self._links.get(runner_id)
         if link is not None and link.url == url:
             return
         if link is not None:
-            self._drop(runner_id)
+            self._remove(runner_id)
         link = EngineLink(
             runner_id=runner_id,
             availability_zone=entry["availability_zone"],
@@ -242,12 +250,12 @@
         self._tasks[runner_id] = asyncio.create_task(link.run(self._session))
 
     def _on_change(self, runner_id: str) -> None:
-        """React to news of a runner."""
+        """Update the marks after a state change of a runner."""
         link = self._links.get(runner_id)
         if link is None:
             return
         if link.hello is None:
-            # Whoever answers there next has not said that it is leaving.
+            # The next process at this address hasn't reported that it is draining.
             self.marks.lift(runner_id, "refusal")
             self.marks.lift(runner_id, "report")
         else:
@@ -255,14 +263,14 @@
         self._changed.set()
 
     def _mark(self, runner_id: str, source: str, leaving: bool) -> None:
-        """Set or lift one source's mark."""
+        """Set or clear the leaving mark of a source."""
         if not leaving:
             self.marks.lift(runner_id, source)
         elif self.marks.mark(runner_id, source):
             events.log(events.RUNNER_LEAVING, runner=runner_id, source=source)
 
-    def _drop(self, runner_id: str) -> None:
-        """Forget a runner."""
+    def _remove(self, runner_id: str) -> None:
+        """Close the connection to a runner and remove its state."""
         self._tasks.pop(runner_id).cancel()
         del self._links[runner_id]
         self.marks.forget(runner_id)
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -27,10 +27,10 @@
 
 #: Larger bodies go to the object store.
 _INLINE_BODY_BYTES = 16_384
-_POLL_FIRST_S = 0.1
-_POLL_MOST_S = 1.0
-_RETRY_FIRST_S = 0.2
-_RETRY_MOST_S = 5.0
+_POLL_INITIAL_S = 0.1
+_POLL_MAX_S = 1.0
+_RETRY_INITIAL_S = 0.2
+_RETRY_MAX_S = 5.0
 
 T = TypeVar("T")
 
@@ -87,11 +87,11 @@
             VioletHatchError: The call itself failed.
         """
         answer = asyncio.get_running_loop().create_future()
-        self._spawn(self._run_into(answer, claim, send))
+        self._spawn(self._run_and_resolve(answer, claim, send))
         result: Answer = await answer
         return result
 
-    async def _run_into(
+    async def _run_and_resolve(
         self,
         answer: asyncio.Future[Answer],
         claim: Claim,
@@ -114,7 +114,7 @@
         row = await self._claim(claim)
         if row is not None:
             self._unsettled.discard(claim.op_id)
-            return await self._follow(claim, row)
+            return await self._await_outcome(claim, row)
         try:
             answer = await send()
         except VioletHatchError as error:
@@ -147,29 +147,29 @@
                 return row
             put = claim.insert(over=row)
 
-    async def _follow(self, claim: Claim, row: Row) -> Answer:
+    async def _await_outcome(self, claim: Claim, row: Row) -> Answer:
         """Answer with another operation's outcome, waiting for it if need be."""
         give_up_s = clocks.now_s() + self._outcome_wait_s
-        pause_s = _POLL_FIRST_S
+        pause_s = _POLL_INITIAL_S
         while True:
             verdict = claim.judge(row)
             if verdict is Verdict.MISMATCH:
                 raise KeyReusedError
             if verdict is Verdict.REPLAY:
-                return await self._stored(row)
+                return await self._load_answer(row)
             if verdict is Verdict.RECLAIM:
                 msg = "an earlier call with this key was not run; ask again"
                 raise ClaimRefusedError(msg, retry_after_s=0.0)
-            if self._owner_is_gone(row):
+            if self._is_abandoned(row):
                 msg = "the instance that ran the earlier call is gone"
                 raise MayHaveRunError(msg)
             if clocks.now_s() > give_up_s:
                 raise MayHaveRunError(retry_after_s=2.0)
             await asyncio.sleep(pause_s * random.uniform(0.5, 1.0))
-            pause_s = min(_POLL_MOST_S, pause_s * 2)
+            pause_s = min(_POLL_MAX_S, pause_s * 2)
             row = await self._read(row)
 
-    def _owner_is_gone(self, row: Row) -> bool:
+    def _is_abandoned(self, row: Row) -> bool:
         """Tell whether nobody is left to store the claim's outcome."""
         return row.value["op_id"] not in self._unsettled and self._is_gone(
             row.value["owner"]
@@ -188,7 +188,7 @@
             return row
         return rows.get(row.key, row)
 
-    async def _stored(self, row: Row) -> Answer:
+    async def _load_answer(self, row: Row) -> Answer:
         """Return the stored answer.
 
         Raises:
@@ -215,15 +215,15 @@
         )
         if len(answer.body) > _INLINE_BODY_BYTES:
             object_key = f"outcomes/{claim.op_id}"
-            await _persist(lambda: self._objects.put(object_key, answer.body))
+            await _retry_until_written(lambda: self._objects.put(object_key, answer.body))
             outcome["body"], outcome["object_key"] = "", object_key
-        await self._conclude(claim, outcome)
+        await self._write_conclusion(claim, outcome)
 
     async def _release(self, claim: Claim) -> None:
         """Give a claim back that nothing was or will be sent under."""
-        await self._conclude(claim, None)
+        await self._write_conclusion(claim, None)
 
-    async def _conclude(self, claim: Claim, outcome: Outcome | None) -> None:
+    async def _write_conclusion(self, claim: Claim, outcome: Outcome | None) -> None:
         """Replace the own claim's row; leave another operation's alone.
 
         A release may find the claim unwritten, or a released one that it was
@@ -238,7 +238,7 @@
                 if outcome is None
                 else claim.finish(outcome, version=version)
             )
-            row = await _persist(functools.partial(self._writer.write, put))
+            row = await _retry_until_written(functools.partial(self._writer.write, put))
             if row is None or not _may_replace(claim, row):
                 self._unsettled.discard(claim.op_id)
                 return
@@ -252,13 +252,13 @@
     return ClaimState(row.value["state"]) is ClaimState.RELEASED
 
 
-async def _persist(call: Callable[[], Awaitable[T]]) -> T:
+async def _retry_until_written(call: Callable[[], Awaitable[T]]) -> T:
     """Repeat a call until the platform answers it."""
-    pause_s = _RETRY_FIRST_S
+    pause_s = _RETRY_INITIAL_S
     while True:
         try:
             return await call()
         except (TableUnavailableError, AnswerLostError) as error:
             events.log(events.OUTCOME_UNRECORDED, error=str(error))
         await asyncio.sleep(pause_s * random.uniform(0.5, 1.0))
-        pause_s = min(_RETRY_MOST_S, pause_s * 2)
+        pause_s = min(_RETRY_MAX_S, pause_s * 2)
--- a/src/violethatch/claims.py
+++ b/src/violethatch/claims.py
@@ -2,11 +2,11 @@
 """Claims: at most one run for each idempotency key, over all instances.
 
 A claim is a row of the platform's table.  It is inserted, on the condition
-that it is absent, before the first byte goes to a backend server, and carries
-the claimant's own operation id, so that a lost answer of the insert is
-settled by writing again: a conflict with one's own operation id is a success.
+that it is absent, before the first byte is sent to a backend server, and contains
+the claimant's operation id, so that a lost response to the insert is resolved by
+retrying the write: a conflict with the same operation id is a success.
 Only the claimant sends.  The outcome is stored in the row afterwards; a claim
-whose call was certainly not run is released and may be claimed anew.
+whose call was certainly not run is released and may be claimed again.
 
 .. versionadded:: 26.1.0
 """
@@ -22,21 +22,21 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Where a claimed call stands.
+    """State of a claimed call.
 
     .. versionadded:: 26.1.0
     """
 
-    #: The claimant may send, or has sent.
+    #: The claimant may send the call, or has sent it.
     RUNNING = "running"
     #: The outcome is known and stored.
     DONE = "done"
-    #: It was certainly not run and won't be under this operation id.
+    #: The call was not run and won't be under this operation id.
     RELEASED = "released"
 
 
 class Outcome(TypedDict):
-    """An answer as it is stored for callers who ask again."""
+    """A response as stored for retries with the same key."""
 
     status: int
     content_type: str
@@ -55,25 +55,25 @@
 
 
 class Verdict(enum.Enum):
-    """What a caller's instance has to do, given the claim's row.
+    """Next step of an instance, depending on the claim's row.
 
     .. versionadded:: 26.1.0
     """
 
-    #: The claim is this operation's: send.
+    #: This operation owns the claim: send the call.
     SEND = enum.auto()
-    #: Another operation runs: wait for its outcome.
+    #: Another operation owns the claim: wait for its outcome.
     WAIT = enum.auto()
-    #: The outcome is stored: answer with it.
+    #: The outcome is stored: return it.
     REPLAY = enum.auto()
-    #: A released claim: try to claim it anew.
+    #: The claim was released: try to claim again.
     RECLAIM = enum.auto()
     #: The key was used with another request.
     MISMATCH = enum.auto()
 
 
 class Claim(NamedTuple):
-    """One operation's wish to run a keyed call.
+    """An operation's claim to run a call with an idempotency key.
 
     .. versionadded:: 26.1.0
     """
@@ -84,7 +84,7 @@
     owner: str
 
     def insert(self, *, over: Row | None = None) -> Put:
-        """Return the write that makes the claim.
+        """Return the write that inserts the claim.
 
         Args:
             over: A released claim to replace.
@@ -97,11 +97,11 @@
         return Put(self.row_key, self._value(ClaimState.DONE, outcome), version)
 
     def release(self, *, version: int) -> Put:
-        """Return the write that gives the claim back, not run."""
+        """Return the write that releases a claim whose call was not run."""
         return Put(self.row_key, self._value(ClaimState.RELEASED, None), version)
 
     def judge(self, row: Row) -> Verdict:
-        """Tell what to do, given the row that stands in the table."""
+        """Return the next step for the row that is in the table."""
         if row.value["request_digest"] != self.request_digest:
             return Verdict.MISMATCH
         state = ClaimState(row.value["state"])
@@ -133,9 +133,9 @@
 
 
 def is_own_write(put: Put, row: Row) -> bool:
-    """Tell whether the row that stands in *put*'s way is *put* itself.
+    """Return whether the row that *put* conflicts with was written by *put* itself.
 
-    That is how a write whose answer was lost is found to have taken effect.
+    Detects that a write whose response was lost has succeeded.
 
     .. versionadded:: 26.1.0
     """
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -16,19 +16,19 @@
 
 #: How long streams are taken after the stop was asked for, in seconds: the
 #: balancer asks each second and needs two misses.
-_STREAMS_TAKEN_S = 2.5
+_STREAM_ACCEPT_S = 2.5
 #: How long before the end other calls are refused, in seconds.
-_CALLS_MARGIN_S = 2.0
+_CALL_MARGIN_S = 2.0
 #: How long before the platform kills the process it leaves, in seconds: on a busy
 #: machine with half a core its last line came 0.16 s after that, and closing what is
 #: left and the interpreter's end took up to 0.24 s more.
-_LEAVE_MARGIN_S = 0.7
+_EXIT_MARGIN_S = 0.7
 #: The part of a route's recent answers that would have to end in time for another
 #: request to be taken: a caller who is refused loses a moment, one who is cut all.
-_USUAL_PART = 0.75
+_RECENT_QUANTILE = 0.75
 #: From how long after the stop was asked for the longest recent answer would have to,
 #: in seconds: by then the balancer sends nothing more, and nothing excuses a cut.
-_ALL_END_S = 3.0
+_MAX_ONLY_AFTER_S = 3.0
 
 
 class StopPlan:
@@ -82,14 +82,14 @@
         if self.asked_s is None:
             return None
         since_s = now_s - self.asked_s
-        taken_s = self.grace_s - _CALLS_MARGIN_S
+        taken_s = self.grace_s - _CALL_MARGIN_S
         if is_stream:
-            taken_s = min(_STREAMS_TAKEN_S, taken_s)
+            taken_s = min(_STREAM_ACCEPT_S, taken_s)
         if since_s >= taken_s:
             return f"the instance stops since {since_s:.1f} s"
-        part = 1.0 if since_s >= _ALL_END_S else _USUAL_PART
+        part = 1.0 if since_s >= _MAX_ONLY_AFTER_S else _RECENT_QUANTILE
         left_s = self.left_s(now_s=now_s)
-        expected_s = min(limit_s, _longest_of_part(recent_s, part))
+        expected_s = min(limit_s, _quantile(recent_s, part))
         if expected_s > left_s:
             return f"it may take {expected_s:.1f} s, and {left_s:.1f} s are left"
         return None
@@ -98,10 +98,10 @@
         """Return how long the process may still run, in seconds."""
         if self.asked_s is None:
             return float("inf")
-        return max(0.0, self.asked_s + self.grace_s - _LEAVE_MARGIN_S - now_s)
+        return max(0.0, self.asked_s + self.grace_s - _EXIT_MARGIN_S - now_s)
 
 
-def _longest_of_part(times_s: Sequence[float], part: float) -> float:
+def _quantile(times_s: Sequence[float], part: float) -> float:
     """Return the time that no more than a part of some times exceeds, or 0 for none."""
     if not times_s:
         return 0.0
--- a/src/violethatch/leases.py
+++ b/src/violethatch/leases.py
@@ -1,15 +1,15 @@
 # SPDX-License-Identifier: MIT
-"""Leases with epochs, judged by each side's own monotonic clock.
+"""Leases with epochs, timed by each process's own monotonic clock.
 
-A lease is a row of the platform's table.  Its epoch only grows and is the
-fence of every order that its holder gives.  No wall clock is compared: an
-observer takes a lease over once it has seen the row unchanged for its whole
+A lease is a row of the platform's table.  Its epoch increases monotonically and is
+the fencing token of every order that its holder issues.  Wall clocks aren't compared:
+an observer takes a lease over once it has seen the row unchanged for the lease's whole
 duration, and the holder stops a margin earlier, counted from before it sent
 the write that renewed it.
 
-A store that is restored from a copy may have lost grants.  The row names the store's
+A store that is restored from a backup may have lost grants.  The row contains the store's
 era in which it was written; an observer that takes over a row of an older era waits for
-as long as a lost grant may last, and leaves out more epochs than can have been lost.
+the max duration of a lost grant, and skips more epochs than can have been lost.
 
 .. versionadded:: 26.1.0
 """
@@ -25,15 +25,15 @@
 from .store_era import NO_ERA
 
 
-#: No lease lasts longer, in seconds; a row that says so is no lease.
-_LONGEST_S = 600.0
-#: The epochs left out for each restore of the store, more than its copy can be behind:
-#: a grant takes some tenths of a second, and a copy is some seconds old.
+#: Max duration of a valid lease, in seconds; a row with a longer one is invalid.
+_MAX_DURATION_S = 600.0
+#: Epochs skipped for each restore of the store, more than its backup can be behind:
+#: a grant takes some tenths of a second, and a backup is some seconds old.
 EPOCHS_A_RESTORE = 1000
 
 
 class LeaseValue(TypedDict):
-    """The value of a lease's row; `era` stands in it where the store names one."""
+    """The value of a lease's row; `era` is set if the store reports one."""
 
     holder: str
     epoch: int
@@ -43,7 +43,7 @@
 
 
 class _LeaseShape(msgspec.Struct):
-    """What a lease's row has to look like."""
+    """Validation schema of a lease's row."""
 
     holder: str
     epoch: Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
@@ -53,23 +53,23 @@
 
 
 class Lease:
-    """One process's view of one lease.
+    """A lease as a single process sees it.
 
     Args:
         row_key: The row's key.
         holder: This process's id.
-        duration_s: How long a renewal lasts, in seconds.
-        margin_s: How much earlier the holder stops, in seconds.
+        duration_s: The validity of a renewal, in seconds.
+        margin_s: How long before expiry the holder stops, in seconds.
 
     .. versionadded:: 26.1.0
     """
 
     __slots__ = (
-        "_asked",
+        "_pending_write",
         "_confirmed_s",
         "_is_restored",
         "_row",
-        "_seen_s",
+        "_observed_s",
         "duration_s",
         "era",
         "holder",
@@ -87,49 +87,50 @@
         self.holder = holder
         self.duration_s = duration_s
         self.margin_s = margin_s
-        #: The store's era; set before a row of it is observed.
+        #: The store's era; has to be set before a row of that era is observed.
         self.era = NO_ERA
         self._is_restored = False
         self._row = Row(row_key, ABSENT, {})
-        self._seen_s: float | None = None
+        self._observed_s: float | None = None
         self._confirmed_s: float | None = None
-        #: The latest write that was wanted, and when.
-        self._asked: tuple[Put, float] | None = None
+        #: The latest write without a known result, and its start in monotonic seconds.
+        self._pending_write: tuple[Put, float] | None = None
 
     def restored(self, era: int) -> None:
-        """Forget what was seen before the store was restored from a copy.
+        """Discard the state observed before the store was restored from a backup.
 
-        The lease is held on if the copy has the latest renewal, which the next row
-        shows.
+        The lease stays held if the next row that is read has the latest renewal.
         """
         self.era = era
         self._is_restored = True
         if self._confirmed_s is not None:
             renewal = Put(self.row_key, dict(self._row.value), ABSENT)
-            self._asked = (renewal, self._confirmed_s)
-        self._confirmed_s = self._seen_s = None
+            self._pending_write = (renewal, self._confirmed_s)
+        self._confirmed_s = self._observed_s = None
 
     def observe(self, row: Row | None, *, now_s: float) -> None:
-        """Take note of the row as it was read at *now_s*.
+        """Update the state from the row that was read at *now_s*.
 
-        A row that is one's own write, whose answer was lost, counts from when
-        that write was wanted.
+        If the row is this process's own write, whose response was lost, the lease
+        starts at the time of :meth:`wanted_write`.
         """
-        seen = row or Row(self.row_key, ABSENT, {})
-        if self._asked is not None and _is_row_of(self._asked[0], seen):
-            put, sent_s = self._asked
-            self.written(put, sent_s=sent_s, version=seen.version)
+        observed = row or Row(self.row_key, ABSENT, {})
+        if self._pending_write is not None and _is_row_of(
+            self._pending_write[0], observed
+        ):
+            put, sent_s = self._pending_write
+            self.written(put, sent_s=sent_s, version=observed.version)
             return
-        if self._seen_s is None or seen.version != self._row.version:
-            self._row = self._understood(seen)
-            self._seen_s = now_s
+        if self._observed_s is None or observed.version != self._row.version:
+            self._row = self._normalized(observed)
+            self._observed_s = now_s
             self._confirmed_s = None
 
-    def _understood(self, row: Row) -> Row:
-        """Return a row, or what is gone by where another writer has left no lease.
+    def _normalized(self, row: Row) -> Row:
+        """Return a row, or a replacement for a row that isn't a valid lease.
 
-        Its version counts as its epoch: each epoch was a write, so that none so far
-        is higher, and orders under the next one are taken.
+        The replacement's epoch is the row's version: each epoch took a write, so
+        that no earlier epoch is higher, and orders under the next epoch are accepted.
         """
         if row.version == ABSENT or _is_lease(row.value):
             return row
@@ -139,63 +140,63 @@
         return row._replace(value=cast("dict[str, Any]", value))
 
     def wanted_write(self, *, now_s: float) -> Put | None:
-        """Return the write that renews or takes the lease, if one is due.
+        """Return the write that renews or acquires the lease, if a write is due.
 
-        It has to be sent at once: the lease counts from *now_s*.
+        It has to be sent immediately: the lease starts at *now_s*.
         """
         put = self._due_write(now_s)
         if put is not None:
-            self._asked = (put, now_s)
+            self._pending_write = (put, now_s)
         return put
 
     def _due_write(self, now_s: float) -> Put | None:
         """Return the write that is due, if any."""
-        if self._seen_s is None:
+        if self._observed_s is None:
             return None
         row = self._row
         if self.held_epoch(now_s=now_s) is not None:
             renewal = int(row.value["renewal"]) + 1
             return self._put(epoch=int(row.value["epoch"]), renewal=renewal)
-        if now_s - self._seen_s < self._wait_s():
+        if now_s - self._observed_s < self._takeover_delay_s():
             return None
         epoch = 0 if row.version == ABSENT else int(row.value["epoch"])
-        return self._put(epoch=epoch + self._lost_epochs() + 1, renewal=0)
+        return self._put(epoch=epoch + self._skipped_epochs() + 1, renewal=0)
 
-    def _wait_s(self) -> float:
-        """Return for how long the row has to stay as it is before a takeover."""
+    def _takeover_delay_s(self) -> float:
+        """Return how long the row has to be unchanged before a takeover, in seconds."""
         if self._row.version == ABSENT:
             return self.duration_s if self._is_restored else 0.0
         duration_s = float(self._row.value["duration_s"])
         is_older = self._row_era() < self.era
         return max(duration_s, self.duration_s) if is_older else duration_s
 
-    def _lost_epochs(self) -> int:
-        """Return how many epochs to leave out for grants that a restore has lost."""
+    def _skipped_epochs(self) -> int:
+        """Return how many epochs to skip for grants that a restore may have lost."""
         return EPOCHS_A_RESTORE * max(0, self.era - max(0, self._row_era()))
 
     def _row_era(self) -> int:
-        """Return the store's era in which the row was written, if it tells."""
+        """Return the store's era in which the row was written, or `NO_ERA`."""
         return int(self._row.value.get("era", NO_ERA))
 
     def written(self, put: Put, *, sent_s: float, version: int | None = None) -> None:
-        """Note that *put*, sent at *sent_s*, has taken effect.
+        """Record that *put*, sent at *sent_s*, has succeeded.
 
         Args:
             put: The write.
             sent_s: When it was sent, in monotonic seconds.
-            version: The version that the row got; the next one if omitted.
+            version: The row's new version; the next number if omitted.
         """
-        self._asked = None
-        got = put.if_version + 1 if version is None else version
-        self._row = Row(self.row_key, got, dict(put.value))
-        self._seen_s = sent_s
+        self._pending_write = None
+        new_version = put.if_version + 1 if version is None else version
+        self._row = Row(self.row_key, new_version, dict(put.value))
+        self._observed_s = sent_s
         self._confirmed_s = sent_s
 
     def held_epoch(self, *, now_s: float) -> int | None:
-        """Return the epoch under which orders may be given now, if any."""
+        """Return the epoch under which orders may be issued now, if any."""
         if self._confirmed_s is None:
             return None
-        # Others go by the row, whatever the settings say by now.
+        # Observers use the row's duration, which may differ from current settings.
         duration_s = float(self._row.value["duration_s"])
         if now_s - self._confirmed_s >= duration_s - self.margin_s:
             return None
@@ -203,20 +204,20 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the latest known row is one's own renewal."""
+        """Whether the latest known row is this process's own write."""
         return self._confirmed_s is not None
 
     def age_s(self, *, now_s: float) -> float:
-        """Return the age of the latest renewal; infinite without one."""
+        """Return the age of the latest renewal, or infinity without a renewal."""
         if self._confirmed_s is None:
             return float("inf")
         return now_s - self._confirmed_s
 
     def resigned(self) -> Put | None:
-        """Return the write that lets others take over at once, if held."""
+        """Return the write that releases the lease for immediate takeover, if held."""
         if self._confirmed_s is None:
             return None
-        self._confirmed_s = self._asked = None
+        self._confirmed_s = self._pending_write = None
         value = dict(self._row.value) | {"duration_s": 0.0}
         return Put(self.row_key, value, self._row.version)
 
@@ -234,25 +235,25 @@
 
 
 def _is_row_of(put: Put, row: Row) -> bool:
-    """Tell whether *row* is what *put* has written.
+    """Return whether *row* is the result of *put*.
 
-    Versions may rise by more than one, where one counter serves all rows; a
-    value names its holder and its renewal, so that it is written only once.
+    Versions may increase by more than 1 where all rows share a counter; a value
+    contains its holder and renewal number, so that it is written only once.
     """
     return row.version > put.if_version and row.value == dict(put.value)
 
 
 def _is_lease(value: Mapping[str, Any]) -> bool:
-    """Tell whether a row's value is a lease's."""
+    """Return whether a row's value is a valid lease."""
     try:
         lease = msgspec.convert(dict(value), _LeaseShape)
     except msgspec.ValidationError:
         return False
-    return lease.duration_s <= _LONGEST_S
+    return lease.duration_s <= _MAX_DURATION_S
 
 
 class Fence:
-    """The receiving end: refuses orders of a superseded holder.
+    """Rejects orders of superseded holders at the receiver.
 
     .. versionadded:: 26.1.0
     """
@@ -263,7 +264,7 @@
         self.known_epoch = 0
 
     def admit(self, epoch: int) -> bool:
-        """Tell whether an order under *epoch* may be carried out."""
+        """Return whether an order under *epoch* may be executed."""
         if epoch < self.known_epoch:
             return False
         self.known_epoch = epoch
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -193,7 +193,7 @@
                 await asyncio.sleep(0.001)
             claim = Claim("claim/w/k", "op2", "d", "z1/e1/op2")
             row = caller.table.rows["claim/w/k"]
-            assert await caller.keyed._follow(claim, row) == OK
+            assert await caller.keyed._await_outcome(claim, row) == OK
             assert await first == OK
 
     async def test_given_up_claim_can_not_appear_later(self):
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -61,7 +61,7 @@
     monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
     monkeypatch.setattr(_placement_lease, "_SPREAD_S", 0.0)
     monkeypatch.setattr(_placing, "_RESIGN_PAUSE_S", 0.0)
-    monkeypatch.setattr(_fleet_watch, "_REPAIR_REST_S", 0.0)
+    monkeypatch.setattr(_fleet_watch, "_REPAIR_SETTLE_S", 0.0)
 
 
 FLEET = [
