--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Writing claims in groups, by one writer for each availability zone.
+"""Batched writes of claims, by a single writer for each availability zone.
 
-Claims and outcomes of all instances of a zone go through the instance that is
-chosen for it, so that the table's writes grow with zones and time and not
-with calls.  Who is chosen need not be agreed on: a claim's write is harmless
-when it is done twice, by whomever.
+Claims and outcomes of all instances of a zone are forwarded to the zone's elected
+writer, so that the number of transactions depends on zones and time and not on
+calls.  The instances need not agree on the writer: a claim's write is idempotent,
+also when several instances send it.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 from .ports import AnswerLostError, Put, Row, Table
 
 
-#: Writes of one transaction.
+#: Max writes in a transaction.
 _MAX_BATCH_WRITES = 100
 
 
 class RowWriter(Protocol):
-    """Writes one row conditionally."""
+    """Writes a row conditionally."""
 
     async def write(self, put: Put) -> Row | None:
-        """Write; return the row in the way, or None if *put* stands.
+        """Write; return the conflicting row, or None if *put* was written.
 
         Raises:
             TableUnavailableError: It was not written and won't be.
-            AnswerLostError: It may have been written, or may yet be.
+            AnswerLostError: It may have been written, or may still be.
         """
 
 
-#: A write and the future of its outcome.
+#: A write and the future of its result.
 _PendingWrite = tuple[Put, "asyncio.Future[Row | None]"]
 
 
 class ClaimWriter:
-    """Groups writes, so that their number grows with time and not with calls.
+    """Batches writes, so that transactions depend on time and not on calls.
 
     Args:
-        table: Where to write.
-        interval_s: The least time between transactions, in seconds.
-        give_up_s: How long to try a write whose answers are lost, in seconds.
+        table: The table to write to.
+        interval_s: Min time between transactions, in seconds.
+        give_up_s: How long to retry a write whose responses are lost, in seconds.
     """
 
     def __init__(self, table: Table, *, interval_s: float, give_up_s: float) -> None:
@@ -57,11 +57,11 @@
         self._wake = asyncio.Event()
 
     async def write(self, put: Put) -> Row | None:
-        """Write conditionally; return the row in the way, or None if written.
+        """Write conditionally; return the conflicting row, or None if written.
 
         Raises:
             TableUnavailableError: It was not written and won't be.
-            AnswerLostError: It may have been written, or may yet be.
+            AnswerLostError: It may have been written, or may still be.
         """
         future = asyncio.get_running_loop().create_future()
         self._queue.append((put, future))
@@ -72,7 +72,7 @@
         return row
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write batches until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -83,53 +83,55 @@
                 await asyncio.sleep(max(0.0, pause_s))
 
     def _take_batch(self) -> list[_PendingWrite]:
-        """Take writes of different rows off the queue, in order.
+        """Remove writes of different rows from the queue, in order.
 
-        Two writes of one row must not share a transaction: each has to see
-        what the other did.
+        Two writes of the same row must not share a transaction: the second has to
+        see the result of the first.
         """
-        taken: dict[str, _PendingWrite] = {}
-        left = []
-        for waiting in self._queue:
-            if len(taken) < _MAX_BATCH_WRITES and waiting[0].key not in taken:
-                taken[waiting[0].key] = waiting
+        batch: dict[str, _PendingWrite] = {}
+        remaining = []
+        for pending in self._queue:
+            if len(batch) < _MAX_BATCH_WRITES and pending[0].key not in batch:
+                batch[pending[0].key] = pending
             else:
-                left.append(waiting)
-        self._queue = left
-        return list(taken.values())
+                remaining.append(pending)
+        self._queue = remaining
+        return list(batch.values())
 
     async def _write_batch(self, batch: list[_PendingWrite]) -> None:
-        """Write a batch; those with conflicts drop out and the rest goes again."""
-        may_be_written = False
+        """Write a batch; retry without the writes that have conflicts."""
+        may_have_written = False
         give_up_s = clocks.now_s() + self._retry_timeout_s
         while batch:
             error: Exception
             try:
                 conflicts = await self._table.transact([put for put, _ in batch])
             except AnswerLostError as lost:
-                may_be_written, error = True, lost
+                may_have_written, error = True, lost
             except TableUnavailableError as unavailable:
                 error = unavailable
             else:
                 batch = _resolve_writes(batch, conflicts)
                 continue
-            if not may_be_written or clocks.now_s() > give_up_s:
-                # Not written for certain only if no try's answer was lost.
-                final = AnswerLostError(str(error)) if may_be_written else error
+            if not may_have_written or clocks.now_s() > give_up_s:
+                # Certainly not written only if no attempt's response was lost.
+                final = AnswerLostError(str(error)) if may_have_written else error
                 for _, future in batch:
                     if not future.done():
                         future.set_exception(final)
                 return
-            # Writing again is safe: it conflicts with itself if it was written.
+            # A retry is safe: it conflicts with itself if it was written before.
             await asyncio.sleep(self._interval_s)
 
 
-def _resolve_writes(batch: list[_PendingWrite], conflicts: list[Row]) -> list[_PendingWrite]:
-    """Resolve what a transaction decided; return what has to go again."""
-    in_the_way = {row.key: row for row in conflicts}
+def _resolve_writes(
+    batch: list[_PendingWrite], conflicts: list[Row]
+) -> list[_PendingWrite]:
+    """Set the results of a transaction; return the writes to retry."""
+    conflicts_by_key = {row.key: row for row in conflicts}
     remaining = []
     for put, future in batch:
-        row = in_the_way.get(put.key)
+        row = conflicts_by_key.get(put.key)
         if conflicts and row is None:
             remaining.append((put, future))
         elif not future.done():
@@ -138,10 +140,10 @@
 
 
 class WriteReply(NamedTuple):
-    """What the zone's writer says of a write.
+    """Response of the zone's writer to a write.
 
     Attributes:
-        row: The row in the way, if any.
+        row: The conflicting row, if any.
         failure: Empty, ``unavailable`` or ``lost``.
     """
 
@@ -150,7 +152,7 @@
 
 
 async def reply_to(writer: RowWriter, put: Put) -> WriteReply:
-    """Write for another instance; return what to tell it."""
+    """Write for another instance and return the response."""
     try:
         return WriteReply(await writer.write(put), "")
     except TableUnavailableError:
@@ -160,13 +162,13 @@
 
 
 class ZoneClaimWriter:
-    """Has the zone's writer do the writes, or does them itself.
+    """Forwards writes to the zone's writer, or writes locally.
 
     Args:
-        local: Writes from this instance.
-        chosen: Returns the id of the zone's writer.
-        own_id: This instance.
-        forward: Sends writes to a peer; None if it does not answer.
+        local: Writes directly to the table.
+        chosen: Returns the instance id of the zone's writer.
+        own_id: Id of this instance.
+        forward: Sends writes to a peer; returns None if it does not respond.
     """
 
     def __init__(
@@ -185,11 +187,11 @@
         self._wake = asyncio.Event()
 
     async def write(self, put: Put) -> Row | None:
-        """Write conditionally; return the row in the way, or None if written.
+        """Write conditionally; return the conflicting row, or None if written.
 
         Raises:
             TableUnavailableError: It was not written and won't be.
-            AnswerLostError: It may have been written, or may yet be.
+            AnswerLostError: It may have been written, or may still be.
         """
         if self._writer_id() == self._own_id:
             return await self._local.write(put)
@@ -202,7 +204,7 @@
         if reply.failure == "unavailable":
             raise TableUnavailableError(retry_after_s=2.0)
         if reply.failure:
-            msg = "the zone's writer lost the answer"
+            msg = "the zone's writer lost the table's response"
             raise AnswerLostError(msg)
         return reply.row
 
@@ -212,16 +214,16 @@
             await self._wake.wait()
             self._wake.clear()
             batch, self._queue = self._queue, []
-            chosen = self._writer_id()
+            writer_id = self._writer_id()
             replies = None
-            if chosen != self._own_id:
-                replies = await self._forward(chosen, [put for put, _ in batch])
-            for number, (_, future) in enumerate(batch):
+            if writer_id != self._own_id:
+                replies = await self._forward(writer_id, [put for put, _ in batch])
+            for index, (_, future) in enumerate(batch):
                 if not future.done():
-                    future.set_result(replies[number] if replies else None)
+                    future.set_result(replies[index] if replies else None)
 
     async def _write_after_forward(self, put: Put) -> Row | None:
-        """Write what a peer may have written, or may yet write."""
+        """Write locally what a peer may have written, or may still write."""
         try:
             return await self._local.write(put)
         except TableUnavailableError as error:
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Keyed calls: claim, send, store the outcome; or answer with a stored one."""
+"""Calls with idempotency keys: claim, send and store the outcome, or replay it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from .ports import ABSENT, AnswerLostError, ObjectStore, Row, Table
 
 
-#: Larger bodies go to the object store.
+#: Larger bodies are written to the object store.
 _INLINE_BODY_BYTES = 16_384
 _POLL_INITIAL_S = 0.1
 _POLL_MAX_S = 1.0
@@ -36,7 +36,7 @@
 
 
 class Answer(NamedTuple):
-    """A plain service's whole answer."""
+    """A complete, non-streamed response of a service."""
 
     status: int
     content_type: str
@@ -44,14 +44,14 @@
 
 
 class KeyedCalls:
-    """Runs keyed calls at most once over all instances.
+    """Runs calls with idempotency keys at most once across all instances.
 
     Args:
-        table: Where claims are read.
+        table: The table to read claims from.
         writer: Writes claims and outcomes.
-        objects: Keeps large answers.
-        outcome_wait_s: How long to wait for another claimant, in seconds.
-        is_gone: Tells whether the instance that owns a claim is known gone.
+        objects: Stores large response bodies.
+        outcome_wait_s: How long to wait for another claimant's outcome, in seconds.
+        is_gone: Returns whether a claim's owner is known to be terminated.
         spawn: Starts a background task.
     """
 
@@ -71,19 +71,19 @@
         self._outcome_wait_s = outcome_wait_s
         self._is_gone = is_gone
         self._spawn = spawn
-        #: This process's operations whose outcome is yet to be stored.
+        #: This process's operations whose outcome is not stored yet.
         self._unsettled: set[str] = set()
 
     async def run(self, claim: Claim, send: Callable[[], Awaitable[Answer]]) -> Answer:
-        """Run *send* under *claim*, or answer with what another run gave.
+        """Run *send* under *claim*, or return the outcome of another run.
 
-        It goes on when the caller goes away: whoever lost patience comes back
-        with the same key, and has to find the outcome then.
+        The call continues when the client disconnects: a client that timed out
+        retries with the same key, and needs the outcome then.
 
         Raises:
-            ClaimRefusedError: The claim can't be made now; not run.
+            ClaimRefusedError: The claim can't be written now; the call was not run.
             KeyReusedError: The key was used with another request.
-            MayHaveRunError: An earlier call's outcome can't be learnt.
+            MayHaveRunError: The outcome of an earlier call is unavailable.
             VioletHatchError: The call itself failed.
         """
         answer = asyncio.get_running_loop().create_future()
@@ -97,7 +97,7 @@
         claim: Claim,
         send: Callable[[], Awaitable[Answer]],
     ) -> None:
-        """Run the call and give what comes of it to whoever still waits."""
+        """Run the call and set its result unless *answer* was cancelled."""
         try:
             result = await self._run(claim, send)
         except Exception as error:
@@ -109,7 +109,7 @@
 
     async def _run(self, claim: Claim, send: Callable[[], Awaitable[Answer]]) -> Answer:
         """Claim, send, and store the outcome in the background."""
-        # From here on: a resend may find the claim before its answer is here.
+        # Set first: a retry may read the claim before its write's response arrives.
         self._unsettled.add(claim.op_id)
         row = await self._claim(claim)
         if row is not None:
@@ -130,7 +130,7 @@
         return answer
 
     async def _claim(self, claim: Claim) -> Row | None:
-        """Make the claim; return the row that stands in the way, if any."""
+        """Write the claim; return the conflicting row, if any."""
         put = claim.insert()
         while True:
             try:
@@ -139,7 +139,7 @@
                 self._unsettled.discard(claim.op_id)
                 raise ClaimRefusedError(str(error), retry_after_s=2.0) from error
             except AnswerLostError as error:
-                # It may yet be written, but nothing will be sent under it.
+                # It may still be written, but nothing will be sent under it.
                 events.log(events.CLAIM_UNSETTLED, operation=claim.op_id)
                 self._spawn(self._release(claim))
                 raise ClaimRefusedError(str(error), retry_after_s=2.0) from error
@@ -148,8 +148,8 @@
             put = claim.insert(over=row)
 
     async def _await_outcome(self, claim: Claim, row: Row) -> Answer:
-        """Answer with another operation's outcome, waiting for it if need be."""
-        give_up_s = clocks.now_s() + self._outcome_wait_s
+        """Return another operation's outcome, waiting for it if necessary."""
+        deadline_s = clocks.now_s() + self._outcome_wait_s
         pause_s = _POLL_INITIAL_S
         while True:
             verdict = claim.judge(row)
@@ -158,30 +158,30 @@
             if verdict is Verdict.REPLAY:
                 return await self._load_answer(row)
             if verdict is Verdict.RECLAIM:
-                msg = "an earlier call with this key was not run; ask again"
+                msg = "an earlier call with this key was not run; retry the request"
                 raise ClaimRefusedError(msg, retry_after_s=0.0)
             if self._is_abandoned(row):
-                msg = "the instance that ran the earlier call is gone"
+                msg = "the instance that ran the earlier call has terminated"
                 raise MayHaveRunError(msg)
-            if clocks.now_s() > give_up_s:
+            if clocks.now_s() > deadline_s:
                 raise MayHaveRunError(retry_after_s=2.0)
             await asyncio.sleep(pause_s * random.uniform(0.5, 1.0))
             pause_s = min(_POLL_MAX_S, pause_s * 2)
             row = await self._read(row)
 
     def _is_abandoned(self, row: Row) -> bool:
-        """Tell whether nobody is left to store the claim's outcome."""
+        """Return whether the claim's owner terminated before storing an outcome."""
         return row.value["op_id"] not in self._unsettled and self._is_gone(
             row.value["owner"]
         )
 
     @property
     def unsettled(self) -> int:
-        """How many operations' outcomes are yet to be stored."""
+        """The number of operations whose outcome is not stored yet."""
         return len(self._unsettled)
 
     async def _read(self, row: Row) -> Row:
-        """Read a claim again; the old row if the table does not answer."""
+        """Reread a claim; return the old row if the table is unavailable."""
         try:
             rows = await self._table.read([row.key])
         except TableUnavailableError:
@@ -189,24 +189,24 @@
         return rows.get(row.key, row)
 
     async def _load_answer(self, row: Row) -> Answer:
-        """Return the stored answer.
+        """Return the stored response.
 
         Raises:
-            MayHaveRunError: It did run, but the object store does not answer.
+            MayHaveRunError: The call was run, but the object store is unavailable.
         """
         outcome: Outcome = row.value["outcome"]
         if outcome["object_key"]:
             try:
                 body = await self._objects.get(outcome["object_key"])
             except TableUnavailableError as error:
-                msg = f"the stored answer can't be read: {error}"
+                msg = f"the stored response can't be read: {error}"
                 raise MayHaveRunError(msg, retry_after_s=2.0) from error
         else:
             body = base64.b64decode(outcome["body"])
         return Answer(outcome["status"], outcome["content_type"], body)
 
     async def _record(self, claim: Claim, answer: Answer) -> None:
-        """Store the outcome, however long the table is out."""
+        """Store the outcome, retrying while the table is unavailable."""
         outcome = Outcome(
             status=answer.status,
             content_type=answer.content_type,
@@ -215,21 +215,23 @@
         )
         if len(answer.body) > _INLINE_BODY_BYTES:
             object_key = f"outcomes/{claim.op_id}"
-            await _retry_until_written(lambda: self._objects.put(object_key, answer.body))
+            await _retry_until_written(
+                lambda: self._objects.put(object_key, answer.body)
+            )
             outcome["body"], outcome["object_key"] = "", object_key
         await self._write_conclusion(claim, outcome)
 
     async def _release(self, claim: Claim) -> None:
-        """Give a claim back that nothing was or will be sent under."""
+        """Release a claim under which nothing was or will be sent."""
         await self._write_conclusion(claim, None)
 
     async def _write_conclusion(self, claim: Claim, outcome: Outcome | None) -> None:
-        """Replace the own claim's row; leave another operation's alone.
+        """Replace this operation's row, but not a row of another operation.
 
-        A release may find the claim unwritten, or a released one that it was
-        to replace.  It then writes a released row of its own there, so that
-        the claim can't appear any more.  An outcome whose row is gone (the
-        table was restored) is stored anew.
+        A release may find the claim unwritten, or a released row that it should have
+        replaced.  It then writes its own released row, so that a delayed write of
+        the claim conflicts.  An outcome whose row no longer exists (the
+        table was restored) is stored again.
         """
         version = ABSENT
         while True:
@@ -246,14 +248,14 @@
 
 
 def _may_replace(claim: Claim, row: Row) -> bool:
-    """Tell whether a claim's conclusion may replace the row in its way."""
+    """Return whether an outcome or a release may replace the conflicting row."""
     if row.version == ABSENT or row.value["op_id"] == claim.op_id:
         return True
     return ClaimState(row.value["state"]) is ClaimState.RELEASED
 
 
 async def _retry_until_written(call: Callable[[], Awaitable[T]]) -> T:
-    """Repeat a call until the platform answers it."""
+    """Retry a call until the platform confirms it."""
     pause_s = _RETRY_INITIAL_S
     while True:
         try:
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A planned stop: unready first, then finish, then leave.
+"""Graceful shutdown: report unready, drain requests in flight, exit.
 
-The balancer goes on sending connections until it has asked twice, so that
-requests are taken for a while longer; what is taken has to end in time.
+The load balancer sends connections until two health checks have failed, so that
+requests are accepted for some time; they have to complete before the exit.
 
 .. versionadded:: 26.1.0
 """
@@ -14,28 +14,28 @@
 from collections.abc import Sequence
 
 
-#: How long streams are taken after the stop was asked for, in seconds: the
-#: balancer asks each second and needs two misses.
+#: How long streams are accepted after the shutdown request, in seconds: the
+#: load balancer probes each second and needs two failures.
 _STREAM_ACCEPT_S = 2.5
-#: How long before the end other calls are refused, in seconds.
+#: How long before the end of the grace period other calls are rejected, in seconds.
 _CALL_MARGIN_S = 2.0
-#: How long before the platform kills the process it leaves, in seconds: on a busy
-#: machine with half a core its last line came 0.16 s after that, and closing what is
-#: left and the interpreter's end took up to 0.24 s more.
+#: How long before the platform's kill the process exits, in seconds: on a busy
+#: machine with half a core its last log line came 0.16 s after that, and closing the
+#: remaining resources and the interpreter's exit took up to 0.24 s more.
 _EXIT_MARGIN_S = 0.7
-#: The part of a route's recent answers that would have to end in time for another
-#: request to be taken: a caller who is refused loses a moment, one who is cut all.
+#: The fraction of a route's recent responses that would have to complete in time to
+#: accept a request: a rejection costs a client a retry, a cut response all its work.
 _RECENT_QUANTILE = 0.75
-#: From how long after the stop was asked for the longest recent answer would have to,
-#: in seconds: by then the balancer sends nothing more, and nothing excuses a cut.
+#: How long after the shutdown request even the longest recent response would have to
+#: complete in time, in seconds: the load balancer sends no more requests by then.
 _MAX_ONLY_AFTER_S = 3.0
 
 
 class StopPlan:
-    """Tells what a process does when, after it was asked to stop.
+    """Schedule of a graceful shutdown.
 
     Args:
-        grace_s: How long after the request the platform kills the process.
+        grace_s: Time from the shutdown request to the platform's kill, in seconds.
 
     .. versionadded:: 26.1.0
     """
@@ -46,17 +46,17 @@
         self._is_closing = False
 
     def ask(self, *, now_s: float) -> None:
-        """Note that the stop was asked for."""
+        """Record the shutdown request; a repeated request has no effect."""
         if self.asked_s is None:
             self.asked_s = now_s
 
     def close(self) -> None:
-        """Note that nothing more is taken: what is under way ends, then all closes."""
+        """Reject new calls; those in flight complete before connections close."""
         self._is_closing = True
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the stop was asked for."""
+        """Whether a shutdown was requested."""
         return self.asked_s is not None
 
     def refusal(
@@ -67,42 +67,42 @@
         recent_s: Sequence[float] = (),
         limit_s: float = math.inf,
     ) -> str | None:
-        """Return why a new call is refused, or None if it is taken.
+        """Return why a new call is rejected, or None if it is accepted.
 
         Args:
-            is_stream: Whether its answer is a stream.
+            is_stream: Whether its response is streamed.
             now_s: The current monotonic time, in seconds.
-            recent_s: How long recent answers of its route took, in seconds.
-            limit_s: How long it may take, in seconds.
+            recent_s: Durations of recent responses of its route, in seconds.
+            limit_s: Max duration of the call, in seconds.
 
         .. versionadded:: 26.6.0
         """
         if self._is_closing:
-            return "the instance closes its connections"
+            return "the instance is closing its connections"
         if self.asked_s is None:
             return None
-        since_s = now_s - self.asked_s
-        taken_s = self.grace_s - _CALL_MARGIN_S
+        elapsed_s = now_s - self.asked_s
+        accept_s = self.grace_s - _CALL_MARGIN_S
         if is_stream:
-            taken_s = min(_STREAM_ACCEPT_S, taken_s)
-        if since_s >= taken_s:
-            return f"the instance stops since {since_s:.1f} s"
-        part = 1.0 if since_s >= _MAX_ONLY_AFTER_S else _RECENT_QUANTILE
-        left_s = self.left_s(now_s=now_s)
-        expected_s = min(limit_s, _quantile(recent_s, part))
-        if expected_s > left_s:
-            return f"it may take {expected_s:.1f} s, and {left_s:.1f} s are left"
+            accept_s = min(_STREAM_ACCEPT_S, accept_s)
+        if elapsed_s >= accept_s:
+            return f"the instance has been shutting down for {elapsed_s:.1f} s"
+        quantile = 1.0 if elapsed_s >= _MAX_ONLY_AFTER_S else _RECENT_QUANTILE
+        remaining_s = self.left_s(now_s=now_s)
+        expected_s = min(limit_s, _quantile(recent_s, quantile))
+        if expected_s > remaining_s:
+            return f"the call may take {expected_s:.1f} s, but only {remaining_s:.1f} s remain"
         return None
 
     def left_s(self, *, now_s: float) -> float:
-        """Return how long the process may still run, in seconds."""
+        """Return the remaining run time of the process, in seconds."""
         if self.asked_s is None:
             return float("inf")
         return max(0.0, self.asked_s + self.grace_s - _EXIT_MARGIN_S - now_s)
 
 
-def _quantile(times_s: Sequence[float], part: float) -> float:
-    """Return the time that no more than a part of some times exceeds, or 0 for none."""
-    if not times_s:
+def _quantile(durations_s: Sequence[float], fraction: float) -> float:
+    """Return a quantile of durations by the nearest-rank method, or 0 for none."""
+    if not durations_s:
         return 0.0
-    return sorted(times_s)[math.ceil(part * len(times_s)) - 1]
+    return sorted(durations_s)[math.ceil(fraction * len(durations_s)) - 1]
