--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -228,8 +228,8 @@
     async def _write_conclusion(self, claim: Claim, outcome: Outcome | None) -> None:
         """Replace this operation's row, but not a row of another operation.
 
-        A release may find the claim unwritten, or a released row that it should have
-        replaced.  It then writes its own released row, so that a delayed write of
+        A release may find the claim unwritten, or a released row that it was meant
+        to replace.  It then writes its own released row, so that a delayed write of
         the claim conflicts.  An outcome whose row no longer exists (the
         table was restored) is stored again.
         """
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -27,7 +27,8 @@
 #: accept a request: a rejection costs a client a retry, a cut response all its work.
 _RECENT_QUANTILE = 0.75
 #: How long after the shutdown request even the longest recent response would have to
-#: complete in time, in seconds: the load balancer sends no more requests by then.
+#: complete in time, in seconds: the load balancer sends nothing more by then, so that
+#: accepting a request that might be cut has no benefit.
 _MAX_ONLY_AFTER_S = 3.0
 
 
@@ -91,7 +92,9 @@
         remaining_s = self.left_s(now_s=now_s)
         expected_s = min(limit_s, _quantile(recent_s, quantile))
         if expected_s > remaining_s:
-            return f"the call may take {expected_s:.1f} s, but only {remaining_s:.1f} s remain"
+            return (
+                f"it may take {expected_s:.1f} s, but only {remaining_s:.1f} s remain"
+            )
         return None
 
     def left_s(self, *, now_s: float) -> float:
--- a/src/violethatch/leases.py
+++ b/src/violethatch/leases.py
@@ -7,9 +7,10 @@
 duration, and the holder stops a margin earlier, counted from before it sent
 the write that renewed it.
 
-A store that is restored from a backup may have lost grants.  The row contains the store's
-era in which it was written; an observer that takes over a row of an older era waits for
-the max duration of a lost grant, and skips more epochs than can have been lost.
+A store that is restored from a backup may have lost grants.  The row contains the
+store's era in which it was written; an observer that takes over a row of an older era
+waits for the max duration of a lost grant, and skips more epochs than can have been
+lost.
 
 .. versionadded:: 26.1.0
 """
@@ -65,11 +66,11 @@
     """
 
     __slots__ = (
-        "_pending_write",
         "_confirmed_s",
         "_is_restored",
-        "_row",
         "_observed_s",
+        "_pending_write",
+        "_row",
         "duration_s",
         "era",
         "holder",
