--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -161,7 +161,7 @@
                 msg = "an earlier call with this key was not run; retry the request"
                 raise ClaimRefusedError(msg, retry_after_s=0.0)
             if self._is_abandoned(row):
-                msg = "the instance that ran the earlier call has terminated"
+                msg = "the instance that ran the earlier call is gone"
                 raise MayHaveRunError(msg)
             if clocks.now_s() > deadline_s:
                 raise MayHaveRunError(retry_after_s=2.0)
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -93,7 +93,7 @@
         expected_s = min(limit_s, _quantile(recent_s, quantile))
         if expected_s > remaining_s:
             return (
-                f"it may take {expected_s:.1f} s, but only {remaining_s:.1f} s remain"
+                f"it may take {expected_s:.1f} s, and {remaining_s:.1f} s are left"
             )
         return None
 
