--- a/bench/admission_costs.py
+++ b/bench/admission_costs.py
@@ -53,17 +53,17 @@
 from violethatch.errors import NotAdmittedError
 from violethatch.load_sums import server_number
 from violethatch.paths import LayerMap, Path
-from violethatch.return_slots import (
-    MOST_WORKS,
+from violethatch.router_settings import AdmissionSection
+from violethatch.start_queue import QueuedRequest, StartQueue
+from violethatch.start_reservations import (
+    MAX_RESERVATIONS,
     UNKNOWN,
     Claim,
     ClaimOutcome,
-    ReservedStarts,
-    ReturnSlots,
-    Slot,
+    ReservationStore,
+    RetrySlot,
+    RetrySlots,
 )
-from violethatch.router_settings import AdmissionSection
-from violethatch.start_queue import StartQueue, Waiting
 from violethatch.upstream import Call
 from violethatch.work_ids import work_id
 
@@ -151,9 +151,11 @@
     return work_id(caller="clinic", method="POST", host="h", target="/", body=body)
 
 
-def waiting(number: int, *, now_s: float) -> Waiting:
+def waiting(number: int, *, now_s: float) -> QueuedRequest:
     """Return a request that may wait for an eighth of a second."""
-    return Waiting(f"r{number}", 0, 1000.0, 20_000, now_s, now_s + 0.125, now_s + 0.5)
+    return QueuedRequest(
+        f"r{number}", 0, 1000.0, 20_000, now_s, now_s + 0.125, now_s + 0.5
+    )
 
 
 #: What the other instances are asked for.
@@ -235,10 +237,10 @@
         _priority: int,
         *,
         starts_per_s: float,
-        most_s: float,
-    ) -> Slot:
+        max_delay_s: float,
+    ) -> RetrySlot:
         """Return a time without reserving."""
-        return Slot(clocks.now_s() + 1.0, is_reserved=False)
+        return RetrySlot(clocks.now_s() + 1.0, is_reserved=False)
 
     async def claim(self, _work: str) -> Claim:
         """Return that nothing is reserved."""
@@ -365,7 +367,7 @@
 
 def show_queue() -> None:
     """Print what a turn of the queue costs."""
-    queue = StartQueue(most_requests=_QUEUED + 1, most_bytes=1 << 24)
+    queue = StartQueue(max_requests=_QUEUED + 1, max_bytes=1 << 24)
     for n in range(_QUEUED):
         queue.offer(waiting(-n - 1, now_s=0.0), starts_per_s=1e4, now_s=0.0)
 
@@ -386,25 +388,25 @@
         ("one of all instances", share),
         ("one of 8", _ROOM.starts_per_s / 8),
     ):
-        slots = ReturnSlots(rng=random.Random(1))
+        slots = RetrySlots(rng=random.Random(1))
 
-        def reserve(n: int, slots: ReturnSlots = slots, per_s: float = per_s) -> Any:
+        def reserve(n: int, slots: RetrySlots = slots, per_s: float = per_s) -> Any:
             return slots.reserve(
-                n % 3, starts_per_s=per_s, most_s=3.0, now_s=100 + n / 20
+                n % 3, starts_per_s=per_s, max_delay_s=3.0, now_s=100 + n / 20
             )
 
         show(f"a start reserved, share of {name}", least_us(reserve), "us")
-    kept = ReservedStarts()
-    works = [work(n) for n in range(MOST_WORKS)]
+    kept = ReservationStore()
+    works = [work(n) for n in range(MAX_RESERVATIONS)]
     show(f"a work's id, body of {_BODY_BYTES} bytes", least_us(work), "us")
     show(
         "a reservation kept",
-        least_us(lambda n: kept.keep(works[n % MOST_WORKS], 1.0, now_s=0.0)),
+        least_us(lambda n: kept.add(works[n % MAX_RESERVATIONS], 1.0, now_s=0.0)),
         "us",
     )
     show(
         "a claim",
-        least_us(lambda n: kept.claim(works[n % MOST_WORKS], now_s=1.0)),
+        least_us(lambda n: kept.claim(works[n % MAX_RESERVATIONS], now_s=1.0)),
         "us",
     )
     token, sender = "t" * 32, "edge-heredia-101"
@@ -436,10 +438,10 @@
             )
         return counter
 
-    def reserved() -> ReservedStarts:
-        kept = ReservedStarts()
-        for n in range(MOST_WORKS):
-            kept.keep(work(n), 10.0, now_s=0.0)
+    def reserved() -> ReservationStore:
+        kept = ReservationStore()
+        for n in range(MAX_RESERVATIONS):
+            kept.add(work(n), 10.0, now_s=0.0)
         return kept
 
     def admitter() -> Admitter:
@@ -447,12 +449,12 @@
         plan = Planner(policy=WorkspacePolicy({}, 0.5)).plan_from_local_load(
             {0: 1.0, 20: 1.0}, in_target_part=None, now_s=0.0
         )
-        for n in range(MOST_WORKS):
+        for n in range(MAX_RESERVATIONS):
             made.admits(plan, 20, n, workspace_offers_per_s=None)
         return made
 
     def queued() -> StartQueue:
-        queue = StartQueue(most_requests=_QUEUED, most_bytes=1 << 24)
+        queue = StartQueue(max_requests=_QUEUED, max_bytes=1 << 24)
         for n in range(_QUEUED):
             queue.offer(waiting(n, now_s=0.0), starts_per_s=1e4, now_s=0.0)
         return queue
--- a/bench/decision_costs.py
+++ b/bench/decision_costs.py
@@ -109,7 +109,7 @@
     backends.replace(servers, now_s=0.0)
     loads = StreamLoads()
     news = {server_number(one.id): ServerTotals(10, 90_000.0) for one in servers}
-    loads.take_others(LoadTotals(instances, 0.0, news, 0.7), now_s=clocks.now_s())
+    loads.update_others(LoadTotals(instances, 0.0, news, 0.7), now_s=clocks.now_s())
     choice = PathSelector(
         servers[0].availability_zone,
         backends=backends,
--- a/bench/load_spread.py
+++ b/bench/load_spread.py
@@ -269,7 +269,7 @@
     def _tick(self, instance: Instance) -> None:
         now_s = self.env.now
         instance.sums.refresh(now_s=now_s)
-        instance.loads.take_others(instance.sums.others, now_s=now_s)
+        instance.loads.update_others(instance.sums.others, now_s=now_s)
         own = instance.loads.own_totals(now_s=now_s)
         neighbours = instance.sums.neighbours(now_s=now_s)
         turn = round(now_s / TICK_S) * MAX_RECIPIENTS_PER_TICK % max(1, len(neighbours))
--- a/src/violethatch/_admission.py
+++ b/src/violethatch/_admission.py
@@ -28,8 +28,8 @@
 from .desired import CallRoute, DesiredState
 from .load_sums import server_number
 from .paths import Path
-from .return_slots import MOST_S
 from .router_settings import AdmissionSection
+from .start_reservations import MAX_RETRY_S
 
 
 __all__ = [
@@ -185,7 +185,7 @@
         than starts are reserved ahead.
         """
         governed = self._services.get(service)
-        if governed is None or blocked_s >= MOST_S:
+        if governed is None or blocked_s >= MAX_RETRY_S:
             return None
         slot_s = governed.slot_s(request, reason="no_path")
         return max(slot_s, blocked_s)
--- a/src/violethatch/_admission_ports.py
+++ b/src/violethatch/_admission_ports.py
@@ -10,7 +10,7 @@
 from . import clocks
 from .demand import Demand
 from .retry_delay import retry_delay_s
-from .return_slots import Claim, ClaimOutcome, Slot
+from .start_reservations import Claim, ClaimOutcome, RetrySlot
 from .stream_loads import StreamLoads
 
 
@@ -60,11 +60,11 @@
         _priority: int,
         *,
         starts_per_s: float,
-        most_s: float,
-    ) -> Slot:
+        max_delay_s: float,
+    ) -> RetrySlot:
         """Return when a caller should come back."""
-        back_s = retry_delay_s(most_s if not starts_per_s else 0.0, rng=self._rng)
-        return Slot(clocks.now_s() + back_s, is_reserved=False)
+        back_s = retry_delay_s(max_delay_s if not starts_per_s else 0.0, rng=self._rng)
+        return RetrySlot(clocks.now_s() + back_s, is_reserved=False)
 
     async def claim(self, _work: str) -> Claim:
         """Return that nothing is reserved."""
--- a/src/violethatch/_admission_types.py
+++ b/src/violethatch/_admission_types.py
@@ -10,8 +10,8 @@
 from .demand import Demand, DemandCounter
 from .desired import ServiceSpec
 from .paths import Path
-from .return_slots import Claim, Slot
 from .router_settings import AdmissionSection
+from .start_reservations import Claim, RetrySlot
 from .upstream import Call
 
 
@@ -76,8 +76,8 @@
         priority: int,
         *,
         starts_per_s: float,
-        most_s: float,
-    ) -> Slot:
+        max_delay_s: float,
+    ) -> RetrySlot:
         """Return when a caller should come back, with a start reserved if possible."""
 
     async def claim(self, work: str) -> Claim:
--- a/src/violethatch/_governed_service.py
+++ b/src/violethatch/_governed_service.py
@@ -19,9 +19,9 @@
 from .errors import NotAdmittedError
 from .load_sums import server_number
 from .paths import Path
-from .return_slots import MOST_S, ClaimOutcome, Slot
 from .router_settings import AdmissionSection
-from .start_queue import StartQueue, Waiting
+from .start_queue import QueuedRequest, StartQueue
+from .start_reservations import MAX_RETRY_S, ClaimOutcome, RetrySlot
 
 
 #: The part of a stream's target for which it may wait: the rest is for its first event.
@@ -66,8 +66,8 @@
         self._planner = Planner(policy=policy)
         self._admitter = Admitter(policy=policy, phase=admission.phase)
         self._queue = StartQueue(
-            most_requests=admission.section.queue_requests,
-            most_bytes=admission.section.queue_kb * 1024,
+            max_requests=admission.section.queue_requests,
+            max_bytes=admission.section.queue_kb * 1024,
         )
         self._waiters: dict[str, _Waiter] = {}
         self._pump: asyncio.Task[None] | None = None
@@ -88,7 +88,7 @@
         self._planner.take_policy(policy)
         self._admitter.take_policy(policy)
         dropped = self._queue.resize(
-            most_requests=section.queue_requests, most_bytes=section.queue_kb * 1024
+            max_requests=section.queue_requests, max_bytes=section.queue_kb * 1024
         )
         self._give_up(dropped)
 
@@ -223,7 +223,7 @@
         elif is_blocked(limit_s - now_s) and find() is None:
             return None
         offer = self._queue.offer(
-            Waiting(
+            QueuedRequest(
                 id=call.id,
                 priority=request.priority,
                 tokens=request.tokens,
@@ -237,7 +237,7 @@
         )
         if offer.displaced is not None:
             self._give_up([offer.displaced])
-        if not offer.is_taken:
+        if not offer.is_queued:
             return None
         waiter = _Waiter(asyncio.get_running_loop().create_future(), find)
         self._waiters[call.id] = waiter
@@ -384,12 +384,12 @@
         else:
             waiter.found.set_result(outcome)
 
-    def _give_up(self, waiting: Iterable[Waiting]) -> None:
+    def _give_up(self, waiting: Iterable[QueuedRequest]) -> None:
         """Let streams go on without a path; they are refused."""
         for one in waiting:
             self._end_wait(one.id, None)
 
-    def _slot(self, request: StartRequest) -> Slot:
+    def _slot(self, request: StartRequest) -> RetrySlot:
         """Reserve a start for a refused caller."""
         left_s = clocks.left_s(request.call.deadline_s)
         return self._admission.returns.schedule_retry(
@@ -397,7 +397,7 @@
             request.work,
             request.priority,
             starts_per_s=self._own_starts_per_s(),
-            most_s=min(MOST_S, _RETURN_PART * left_s),
+            max_delay_s=min(MAX_RETRY_S, _RETURN_PART * left_s),
         )
 
     def _own_starts_per_s(self) -> float:
--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -80,7 +80,7 @@
     def _tick(self, *, now_s: float) -> None:
         """Tell each neighbour once, and let go of old words."""
         self._sums.refresh(now_s=now_s)
-        self._loads.take_others(self._sums.others, now_s=now_s)
+        self._loads.update_others(self._sums.others, now_s=now_s)
         self.on_tick()
         neighbours = self._sums.neighbours(now_s=now_s)
         if neighbours != self._neighbours:
--- a/src/violethatch/_path_choice.py
+++ b/src/violethatch/_path_choice.py
@@ -30,7 +30,7 @@
 from .pipe_share import PipeShare
 from .runner_health import RunnerHealth
 from .slow_runners import SlowRunners
-from .stream_loads import StreamLoads, fullness_added
+from .stream_loads import StreamLoads, added_utilization
 
 
 #: The part of its slots from which a first runner counts as having none left: what is
@@ -234,7 +234,7 @@
             and one.layers.first == 0
             and one.id not in left_out
         ]
-        firsts.sort(key=lambda one: self._loads.fullness(one, engine, now_s=now_s))
+        firsts.sort(key=lambda one: self._loads.utilization(one, engine, now_s=now_s))
         emptier = {one.id: one for one in firsts[: max(2, len(firsts) // 2)]}
         for server_id in rendezvous(key, emptier, count=_MOST_FIRSTS):
             path = self.path(
@@ -323,7 +323,7 @@
     def first_server_utilization(self, service: ServiceSpec, path: Path) -> float:
         """Return the part of a path's first runner that is taken."""
         assert service.engine is not None
-        return self._loads.fullness(path.first, service.engine, now_s=clocks.now_s())
+        return self._loads.utilization(path.first, service.engine, now_s=clocks.now_s())
 
     def record_stream_start(self) -> None:
         """Count a stream that this instance begins."""
@@ -365,7 +365,7 @@
         return frozenset(
             one.id
             for one in layer_map.first_servers
-            if self._loads.slots_taken(one, now_s=now_s) >= _NO_SLOT
+            if self._loads.slot_utilization(one, now_s=now_s) >= _NO_SLOT
         )
 
     def _view(
@@ -376,7 +376,7 @@
             left_out,
             kept,
             self._paces.slow(now_s=now_s),
-            self._loads.pipe_fullness(now_s=now_s),
+            self._loads.zone_link_utilization(now_s=now_s),
         )
 
     def _shared_path(
@@ -396,7 +396,7 @@
 
     def _is_full(self, first: BackendServer, maps: _Maps, *, now_s: float) -> bool:
         """Tell whether a first runner has filled up since parts were laid."""
-        fullness = self._loads.fullness(first, maps.whole.engine, now_s=now_s)
+        fullness = self._loads.utilization(first, maps.whole.engine, now_s=now_s)
         return fullness >= FULL
 
     def _lay(
@@ -425,7 +425,7 @@
             # A request that moves stays where its KV cache is, if it can.
             is_quick=True if first is not None else None,
         )
-        fullness = self._loads.fullness_of(maps.whole, now_s=now_s)
+        fullness = self._loads.utilization_by_server(maps.whole, now_s=now_s)
         return assign_paths(search.find, fullness, added_utilization=added, parts=parts)
 
     def _added(
@@ -439,7 +439,7 @@
         """
         if path.first.availability_zone != self._zone:
             streams *= max(1.0, self._instances() / self.zone_position().instances)
-        return fullness_added(path, engine, streams=streams)
+        return added_utilization(path, engine, streams=streams)
 
     def _path_after(
         self, first: BackendServer, maps: _Maps, view: _View, *, now_s: float
@@ -464,7 +464,7 @@
         """Return a path, or one without the hops that the pipe has no room for."""
         if not path.zone_hops or self._may_cross(path, maps, now_s=now_s):
             return path
-        fullness = self._loads.fullness_of(maps.whole, now_s=now_s)
+        fullness = self._loads.utilization_by_server(maps.whole, now_s=now_s)
         return self._find(maps.whole, view, fullness, first=first, may_cross=False)
 
     def _may_cross(self, path: Path, maps: _Maps, *, now_s: float) -> bool:
--- a/src/violethatch/_peer_datagrams.py
+++ b/src/violethatch/_peer_datagrams.py
@@ -15,7 +15,7 @@
 from ._decoding import decoded
 from ._serving import host_and_port, when_free
 from .instances import InstanceDirectory, InstanceEntry
-from .return_slots import ClaimOutcome
+from .start_reservations import ClaimOutcome
 
 
 #: Numbers that mean something: no sum may become infinite, or no number at all.
--- a/src/violethatch/_peer_links.py
+++ b/src/violethatch/_peer_links.py
@@ -9,8 +9,8 @@
 from ._limit_link import LimitLink
 from ._load_link import LoadLink
 from ._peer_datagrams import PeerDatagrams
+from ._reservation_link import ReservationLink
 from ._retry_link import RetryLink
-from ._return_link import ReturnLink
 from ._router import Router
 from ._slow_runner_link import SlowRunnerLink
 from .suspicion import SuspectLink
@@ -35,7 +35,7 @@
         self._paces = SlowRunnerLink(datagrams, router.routing.slow_runners)
         self._retries = RetryLink(datagrams, router.routing.retries, rng=rng)
         self._suspects = SuspectLink(datagrams, router.routing.suspects)
-        self._returns = ReturnLink(datagrams, rng=rng)
+        self._returns = ReservationLink(datagrams, rng=rng)
         self.loads = LoadLink(datagrams, router.routing.loads)
         self.loads.on_tick = router.routing.admission.refresh
         self.limits = LimitLink(
--- a/src/violethatch/_return_link.py
+++ b/src/violethatch/_reservation_link.py
@@ -29,13 +29,13 @@
 )
 from .instances import InstanceEntry
 from .membership import rendezvous
-from .return_slots import (
+from .start_reservations import (
     UNKNOWN,
     Claim,
     ClaimOutcome,
-    ReservedStarts,
-    ReturnSlots,
-    Slot,
+    ReservationStore,
+    RetrySlot,
+    RetrySlots,
 )
 from .work_ids import check_work_id
 
@@ -68,7 +68,7 @@
     answer: asyncio.Future[Claim]
 
 
-class ReturnLink:
+class ReservationLink:
     """Reserves starts for refused callers, and claims them for their retries.
 
     Args:
@@ -81,8 +81,8 @@
         self._directory = datagrams.directory
         self._rng = rng
         self._numbers = itertools.count(rng.getrandbits(30))
-        self._slots: dict[str, ReturnSlots] = {}
-        self._kept = ReservedStarts()
+        self._slots: dict[str, RetrySlots] = {}
+        self._kept = ReservationStore()
         self._asked: dict[int, _Question] = {}
         #: By instance and number, what its question was answered.
         self._answers: dict[tuple[str, int], Claim] = {}
@@ -98,8 +98,8 @@
         priority: int,
         *,
         starts_per_s: float,
-        most_s: float,
-    ) -> Slot:
+        max_delay_s: float,
+    ) -> RetrySlot:
         """Reserve a start for a refused caller, and notify the keepers.
 
         Args:
@@ -111,10 +111,10 @@
         """
         slots = self._slots.get(service)
         if slots is None:
-            slots = self._slots[service] = ReturnSlots(rng=self._rng)
+            slots = self._slots[service] = RetrySlots(rng=self._rng)
         now_s = clocks.now_s()
         slot = slots.reserve(
-            priority, starts_per_s=starts_per_s, most_s=most_s, now_s=now_s
+            priority, starts_per_s=starts_per_s, max_delay_s=max_delay_s, now_s=now_s
         )
         if slot.is_reserved:
             self._notify(work, slot.at_s, now_s=now_s)
@@ -176,7 +176,7 @@
         left_ms = min(LONGEST_LEFT_MS, max(0, round((at_s - now_s) * _MS_PER_S)))
         for keeper in self._keepers(work):
             if keeper.id == own_id:
-                self._kept.keep(work, at_s, now_s=now_s)
+                self._kept.add(work, at_s, now_s=now_s)
             else:
                 message = ReservedDatagram(keeper.token, own_id, work, left_ms)
                 self._datagrams.send(keeper, message)
@@ -205,7 +205,7 @@
         check_work_id(message.work)
         now_s = clocks.now_s()
         at_s = now_s + message.left_ms / _MS_PER_S
-        self._kept.keep(message.work, at_s, now_s=now_s)
+        self._kept.add(message.work, at_s, now_s=now_s)
 
     def _take_question(self, message: ClaimDatagram) -> None:
         """Answer a claim, the same if it comes twice.
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -92,9 +92,7 @@
         remaining_s = self.left_s(now_s=now_s)
         expected_s = min(limit_s, _quantile(recent_s, quantile))
         if expected_s > remaining_s:
-            return (
-                f"it may take {expected_s:.1f} s, and {remaining_s:.1f} s are left"
-            )
+            return f"it may take {expected_s:.1f} s, and {remaining_s:.1f} s are left"
         return None
 
     def left_s(self, *, now_s: float) -> float:
--- a/src/violethatch/start_queue.py
+++ b/src/violethatch/start_queue.py
@@ -45,7 +45,7 @@
 _MOST_SPARE_PART = 0.25
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits for a start.
 
     Times are seconds of `clocks.now_s()`.
@@ -81,11 +81,11 @@
     .. versionadded:: 26.5.0
     """
 
-    is_taken: bool
-    displaced: Waiting | None
+    is_queued: bool
+    displaced: QueuedRequest | None
 
 
-_REFUSED = Offer(is_taken=False, displaced=None)
+_REFUSED = Offer(is_queued=False, displaced=None)
 
 
 class _Record:
@@ -103,7 +103,7 @@
 class _Place(NamedTuple):
     """Where a request waits."""
 
-    one: Waiting
+    one: QueuedRequest
     number: int
     record: _Record
 
@@ -201,7 +201,7 @@
                 chosen = rank if chosen is None else min(chosen, rank)
         return chosen[3] if chosen is not None else None
 
-    def start(self, now_s: float) -> Waiting | None:
+    def start(self, now_s: float) -> QueuedRequest | None:
         """Choose the request to start now, and count it in its group."""
         place = self.first(now_s)
         if place is None:
@@ -211,7 +211,7 @@
         record.group.started += record.is_recent
         return one
 
-    def last(self) -> Waiting:
+    def last(self) -> QueuedRequest:
         """Return the request with the latest limit."""
         groups = (self.small.entries, self.large.entries)
         return max(one[-1] for one in groups if one)[2].one
@@ -233,8 +233,8 @@
     .. versionadded:: 26.5.0
     """
 
-    def __init__(self, *, most_requests: int, most_bytes: int) -> None:
-        self._set_bounds(most_requests, most_bytes)
+    def __init__(self, *, max_requests: int, max_bytes: int) -> None:
+        self._set_bounds(max_requests, max_bytes)
         self._lanes: dict[int, _Lane] = {}
         #: The priorities of the lanes, the most urgent first.
         self._priorities: list[int] = []
@@ -270,7 +270,7 @@
         """
         return max(0.0, now_s - self._reads[0][0]) if self._reads else 0.0
 
-    def offer(self, one: Waiting, *, starts_per_s: float, now_s: float) -> Offer:
+    def offer(self, one: QueuedRequest, *, starts_per_s: float, now_s: float) -> Offer:
         """Queue a request if it can start before its limit and there is memory for it.
 
         Args:
@@ -307,9 +307,9 @@
         lane.waiting += 1
         self._places[one.id] = place
         self._size_bytes += one.size_bytes
-        return Offer(is_taken=True, displaced=displaced)
+        return Offer(is_queued=True, displaced=displaced)
 
-    def firsts(self, *, now_s: float) -> list[Waiting]:
+    def firsts(self, *, now_s: float) -> list[QueuedRequest]:
         """Return the next request of each priority, the most urgent first.
 
         Args:
@@ -321,7 +321,9 @@
         places = (lane.first(now_s) for lane in lanes if lane.waiting)
         return [place.one for place in places if place is not None]
 
-    def next(self, *, now_s: float, priority: int | None = None) -> Waiting | None:
+    def next(
+        self, *, now_s: float, priority: int | None = None
+    ) -> QueuedRequest | None:
         """Take out the request to start now; None if there is none.
 
         Requests past their limits are left to `expire`.
@@ -345,7 +347,7 @@
                 return one
         return None
 
-    def expire(self, *, now_s: float) -> list[Waiting]:
+    def expire(self, *, now_s: float) -> list[QueuedRequest]:
         """Take out the requests whose limits are before the next call.
 
         To be called every `EXPIRE_INTERVAL_S`.
@@ -375,7 +377,7 @@
         if id in self._places:
             self._drop(id)
 
-    def resize(self, *, most_requests: int, most_bytes: int) -> list[Waiting]:
+    def resize(self, *, max_requests: int, max_bytes: int) -> list[QueuedRequest]:
         """Change the bounds, and take out what no longer fits.
 
         Args:
@@ -390,9 +392,9 @@
 
         .. versionadded:: 26.5.0
         """
-        self._set_bounds(most_requests, most_bytes)
-        refused: list[Waiting] = []
-        while len(self) > most_requests or self._size_bytes > most_bytes:
+        self._set_bounds(max_requests, max_bytes)
+        refused: list[QueuedRequest] = []
+        while len(self) > max_requests or self._size_bytes > max_bytes:
             last = self._less_urgent(-1)
             if last is None:
                 break
@@ -419,7 +421,7 @@
 
     def _can_start(
         self,
-        one: Waiting,
+        one: QueuedRequest,
         lane: _Lane,
         group: _Group,
         starts_per_s: float,
@@ -462,7 +464,7 @@
             passed = 0.0
         return math.exp(passed)
 
-    def _has_memory(self, one: Waiting) -> bool:
+    def _has_memory(self, one: QueuedRequest) -> bool:
         """Tell whether a request fits without displacing another.
 
         Room for a recent peak is kept free whatever the request's own size: small
@@ -475,7 +477,7 @@
             and self._size_bytes + needed_bytes <= self._most_bytes
         )
 
-    def _less_urgent(self, priority: int) -> Waiting | None:
+    def _less_urgent(self, priority: int) -> QueuedRequest | None:
         """Return the last of the least urgent requests, if less urgent than given."""
         for other in reversed(self._priorities):
             if other <= priority:
--- a/src/violethatch/return_slots.py
+++ b/src/violethatch/start_reservations.py
@@ -25,9 +25,9 @@
 
 
 #: The earliest retry, in seconds: some running streams end by then.
-LEAST_S = 0.5
+MIN_RETRY_S = 0.5
 #: The latest retry, in seconds: the room of later times is not known.
-MOST_S = 3.0
+MAX_RETRY_S = 3.0
 #: The part of an instance's share that is reserved: half at the most, so that the
 #: starts of many instances that fall together are within the room.  With 0.5, and a
 #: demand of 0.88 of the room, half a second had offers of 1.23 of the room.
@@ -46,18 +46,18 @@
 _SHOWN_REFUSALS = 8
 _SHOWN_S = 10.0
 #: How long a reservation lasts beyond its time, in seconds.
-KEPT_S = 1.5
+RESERVATION_TTL_S = 1.5
 #: The most works whose reservations are kept; the oldest are dropped.
-MOST_WORKS = 4096
+MAX_RESERVATIONS = 4096
 #: How much too early a retry may be, in seconds: callers round the time they are told,
 #: and keepers count it from when they hear of it.
 TOLERANCE_S = 0.05
 #: Within how long after its time a second reservation is taken for a late copy of the
 #: first, in seconds.  A new one is at least `LEAST_S` after the claim of the first.
-_COPY_S = LEAST_S - 2 * TOLERANCE_S
+_COPY_S = MIN_RETRY_S - 2 * TOLERANCE_S
 
 
-class Slot(NamedTuple):
+class RetrySlot(NamedTuple):
     """What a refused caller is told.
 
     Attributes:
@@ -100,7 +100,7 @@
 DUE = Claim(ClaimOutcome.DUE)
 
 
-class ReturnSlots:
+class RetrySlots:
     """One instance's reservable starts of one service.
 
     Args:
@@ -128,8 +128,8 @@
         )
 
     def reserve(
-        self, priority: int, *, starts_per_s: float, most_s: float, now_s: float
-    ) -> Slot:
+        self, priority: int, *, starts_per_s: float, max_delay_s: float, now_s: float
+    ) -> RetrySlot:
         """Reserve the earliest start that is left for a refused caller's priority.
 
         Args:
@@ -141,17 +141,17 @@
         .. versionadded:: 26.5.0
         """
         self._update(starts_per_s, now_s=now_s)
-        latest_s = min(MOST_S, most_s)
+        latest_s = min(MAX_RETRY_S, max_delay_s)
         number = self._free_start(priority, latest_s=latest_s, now_s=now_s)
         self._refused.append((now_s, priority))
         self._latest.append((now_s, priority))
         self._counts[priority] += 1
         if number is None:
-            return Slot(now_s + max(LEAST_S, latest_s), is_reserved=False)
+            return RetrySlot(now_s + max(MIN_RETRY_S, latest_s), is_reserved=False)
         at_s = self._time_s(number, now_s=now_s)
         self._taken[number] = at_s
         self._in_slots[int(at_s // SLOT_S)] += 1
-        return Slot(at_s, is_reserved=True)
+        return RetrySlot(at_s, is_reserved=True)
 
     def reserved(self, *, now_s: float) -> int:
         """Return how many reservations are not yet due.
@@ -193,12 +193,12 @@
         self, priority: int, *, latest_s: float, now_s: float
     ) -> int | None:
         """Return the number of the start to reserve; None if none is left."""
-        if latest_s < LEAST_S or not self._per_s:
+        if latest_s < MIN_RETRY_S or not self._per_s:
             return None
         most_in_slot = math.ceil(SLOT_S * self._per_s)
         left = sum(count for one, count in self._counts.items() if one < priority)
-        held_s = self._held_part(priority, now_s=now_s) * (latest_s - LEAST_S)
-        first = math.ceil(self._passed + (LEAST_S + held_s) * self._per_s)
+        held_s = self._held_part(priority, now_s=now_s) * (latest_s - MIN_RETRY_S)
+        first = math.ceil(self._passed + (MIN_RETRY_S + held_s) * self._per_s)
         last = math.floor(self._passed + latest_s * self._per_s)
         for one in range(first, last + 1):
             if one in self._taken:
@@ -228,7 +228,7 @@
     is_used: bool
 
 
-class ReservedStarts:
+class ReservationStore:
     """The reservations that one instance keeps, by work.
 
     .. versionadded:: 26.5.0
@@ -237,7 +237,7 @@
     def __init__(self) -> None:
         self._kept: dict[str, _Kept] = {}
 
-    def keep(self, work: str, at_s: float, *, now_s: float) -> None:
+    def add(self, work: str, at_s: float, *, now_s: float) -> None:
         """Keep a work's reservation; one that was kept or used before stays so.
 
         Args:
@@ -264,7 +264,7 @@
         .. versionadded:: 26.5.0
         """
         known = self._kept.get(work)
-        if known is None or known.is_used or now_s >= known.at_s + KEPT_S:
+        if known is None or known.is_used or now_s >= known.at_s + RESERVATION_TTL_S:
             return UNKNOWN
         if now_s < known.at_s - TOLERANCE_S:
             return Claim(ClaimOutcome.EARLY, known.at_s - now_s)
@@ -280,14 +280,15 @@
         .. versionadded:: 26.5.0
         """
         return sum(
-            not one.is_used and now_s < one.at_s + KEPT_S for one in self._kept.values()
+            not one.is_used and now_s < one.at_s + RESERVATION_TTL_S
+            for one in self._kept.values()
         )
 
     def _drop(self, now_s: float) -> None:
         """Drop the oldest ones that have expired or are too many."""
         while self._kept:
             oldest = next(iter(self._kept))
-            has_expired = now_s >= self._kept[oldest].at_s + KEPT_S
-            if not has_expired and len(self._kept) <= MOST_WORKS:
+            has_expired = now_s >= self._kept[oldest].at_s + RESERVATION_TTL_S
+            if not has_expired and len(self._kept) <= MAX_RESERVATIONS:
                 return
             del self._kept[oldest]
--- a/src/violethatch/stream_loads.py
+++ b/src/violethatch/stream_loads.py
@@ -80,7 +80,7 @@
         """What all other instances have, as they last reported."""
         return self._others
 
-    def take_others(self, others: LoadTotals, *, now_s: float) -> None:
+    def update_others(self, others: LoadTotals, *, now_s: float) -> None:
         """Take in what all other instances have."""
         self._others = others
         self._others_taken_s = now_s
@@ -98,7 +98,7 @@
         streams = sum(one.streams for one in self._others.servers.values())
         return streams / self._others.instances
 
-    def lasted(self, stream_s: float) -> None:
+    def record_duration(self, stream_s: float) -> None:
         """Take in how long a stream of this instance has lasted, in seconds."""
         if self._stream_s is None:
             self._stream_s = stream_s
@@ -151,14 +151,16 @@
         """Take in what a first runner reports of the streams it has from all."""
         self._reports_by_first[first_id] = _Report(load, now_s)
 
-    def fullness_of(self, layer_map: LayerMap, *, now_s: float) -> dict[str, float]:
+    def utilization_by_server(
+        self, layer_map: LayerMap, *, now_s: float
+    ) -> dict[str, float]:
         """Return, by runner, how full it is."""
         return {
-            server_id: self.fullness(server, layer_map.engine, now_s=now_s)
+            server_id: self.utilization(server, layer_map.engine, now_s=now_s)
             for server_id, server in layer_map.holders.items()
         }
 
-    def fullness(
+    def utilization(
         self, server: BackendServer, engine: EngineSpec, *, now_s: float
     ) -> float:
         """Return the part of a runner's room that is thought to be taken.
@@ -169,7 +171,7 @@
         slots_taken = self._slots_taken(server, known.streams, now_s=now_s)
         return max(slots_taken, _kv_cache_taken(server, engine, known.token_layers))
 
-    def slots_taken(self, server: BackendServer, *, now_s: float) -> float:
+    def slot_utilization(self, server: BackendServer, *, now_s: float) -> float:
         """Return the part of a runner's slots that streams which begin there take.
 
         Above 1 where streams wait there, for a slot or for memory: then what it runs
@@ -196,7 +198,7 @@
         """Forget a runner that is no longer listed."""
         self._reports_by_first.pop(server_id, None)
 
-    def pipe_fullness(self, *, now_s: float) -> float:
+    def zone_link_utilization(self, *, now_s: float) -> float:
         """Return the part of the time that the pipe between zones is taken."""
         own_ms_per_s = self._own_pipe_ms_per_s(now_s=now_s)
         return (own_ms_per_s + self._others.pipe_ms_per_s) / _MS_PER_S
@@ -237,7 +239,7 @@
             self._own_token_layers.pop(stage.server.id, None)
 
 
-def fullness_added(
+def added_utilization(
     path: Path, engine: EngineSpec, *, streams: float
 ) -> dict[str, float]:
     """Return, by runner, how much fuller some usual streams make a path's runners.
--- a/src/violethatch/streams/_call.py
+++ b/src/violethatch/streams/_call.py
@@ -474,7 +474,7 @@
         for server_id in run.path.server_ids:
             self._routing.health.record_success(server_id)
         self._work.answered()
-        self._routing.loads.lasted(clocks.now_s() - self._call.received_s)
+        self._routing.loads.record_duration(clocks.now_s() - self._call.received_s)
         await responder.finish()
         return RunOutcome(run, RunEnd.WHOLE, _OK)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -28,8 +28,8 @@
 from violethatch.errors import NotAdmittedError
 from violethatch.load_sums import server_number
 from violethatch.paths import Path, Stage
-from violethatch.return_slots import Claim, ClaimOutcome, Slot
 from violethatch.router_settings import AdmissionMode, AdmissionSection
+from violethatch.start_reservations import Claim, ClaimOutcome, RetrySlot
 from violethatch.streams import StreamCall
 
 
@@ -90,9 +90,9 @@
         self.claims = {}
         self.slots = []
 
-    def schedule_retry(self, _service, work, priority, *, starts_per_s, most_s):
-        self.slots.append((work, priority, starts_per_s, most_s))
-        return Slot(clocks.now_s() + 1.0, is_reserved=True)
+    def schedule_retry(self, _service, work, priority, *, starts_per_s, max_delay_s):
+        self.slots.append((work, priority, starts_per_s, max_delay_s))
+        return RetrySlot(clocks.now_s() + 1.0, is_reserved=True)
 
     async def claim(self, work):
         return self.claims.get(work, Claim(ClaimOutcome.UNKNOWN, 0.0))
--- a/tests/test_callers_listener.py
+++ b/tests/test_callers_listener.py
@@ -242,11 +242,11 @@
     await site.start()
     site.router.in_flight = site.router.settings.limits.most_requests
     loads = site.router.routing.loads
-    loads.take_others(EMPTY_LOAD._replace(instances=7), now_s=clocks.now_s())
+    loads.update_others(EMPTY_LOAD._replace(instances=7), now_s=clocks.now_s())
     with contextlib.suppress(ConnectionError):
         assert await site.ask_for_bytes("c1", path="/label/1") == b""
     assert not site.listener.has_room()
-    loads.take_others(EMPTY_LOAD, now_s=clocks.now_s())
+    loads.update_others(EMPTY_LOAD, now_s=clocks.now_s())
     assert b"503" in await site.ask_for_bytes("c2", path="/label/1")
     assert site.listener.has_room()
 
--- a/tests/test_load_link.py
+++ b/tests/test_load_link.py
@@ -97,7 +97,7 @@
             loads[0].started(PATH, 500.0, crossing_ms=0.0, now_s=0.0)
         async with asyncio.timeout(10):
             for one, spec in itertools.product(loads, (PATH.first,)):
-                while one.fullness(spec, engine(), now_s=0.0) < 0.5:
+                while one.utilization(spec, engine(), now_s=0.0) < 0.5:
                     await asyncio.sleep(0.02)
         assert loads[0].others.servers == {}
         for task in tasks:
--- a/tests/test_path_choice.py
+++ b/tests/test_path_choice.py
@@ -67,7 +67,7 @@
         taken = ServerTotals(30, 30_000.0 * 20)
         news = {server_number(f"n{n}-{s}"): taken for n in (0, 1) for s in range(4)}
         for one in made:
-            one.loads.take_others(
+            one.loads.update_others(
                 LoadTotals(38, 0.0, news, age_s=1.2), now_s=clocks.now_s()
             )
         counts = collections.Counter(one.path(SERVICE).first.id for one in made)
--- a/tests/test_path_shares.py
+++ b/tests/test_path_shares.py
@@ -26,7 +26,7 @@
     select_path,
 )
 from violethatch.paths import LayerMap
-from violethatch.stream_loads import fullness_added
+from violethatch.stream_loads import added_utilization
 
 
 #: Three chains alike.
@@ -43,7 +43,7 @@
     return assign_paths(
         lambda full: MAP.find(zone="z1", utilization=full, excluded=left_out),
         fullness or {},
-        added_utilization=lambda path: fullness_added(
+        added_utilization=lambda path: added_utilization(
             path, engine(), streams=streams / PARTS
         ),
     )
@@ -89,7 +89,7 @@
         paths = laid(float(streams), fullness=known)
         thought = collections.Counter({"c0-0": taken / 100, "c1-0": 0.0, "c2-0": 0.0})
         for path in paths:
-            part = fullness_added(path, engine(), streams=streams / PARTS)
+            part = added_utilization(path, engine(), streams=streams / PARTS)
             part_of_one = part[path.first.id]
             thought[path.first.id] += part_of_one
         if "c0-0" in {path.first.id for path in paths}:
--- a/tests/test_return_link.py
+++ b/tests/test_return_link.py
@@ -20,9 +20,9 @@
     PeerDatagrams,
     ReservedDatagram,
 )
-from violethatch._return_link import ReturnLink
+from violethatch._reservation_link import ReservationLink
 from violethatch.instances import InstanceDirectory
-from violethatch.return_slots import ClaimOutcome
+from violethatch.start_reservations import ClaimOutcome
 
 
 WORK = "0" * 31 + "1"
@@ -55,7 +55,7 @@
             one.id: self.network.join(one, entries) for one in entries.values()
         }
         self.links = {
-            one: ReturnLink(datagrams, rng=rng)
+            one: ReservationLink(datagrams, rng=rng)
             for one, datagrams in self.datagrams.items()
         }
         self.own = entries
@@ -73,7 +73,7 @@
     def refuse(self, at, of=WORK):
         """Let an instance refuse a work; return the time told, from now."""
         slot = self.links[at].schedule_retry(
-            "chat", of, 0, starts_per_s=40.0, most_s=3.0
+            "chat", of, 0, starts_per_s=40.0, max_delay_s=3.0
         )
         assert slot.is_reserved
         return slot.at_s - clocks.now_s()
@@ -166,7 +166,9 @@
         async def part():
             zones = Zones(9)
             link = zones.links["i0"]
-            slot = link.schedule_retry("chat", WORK, 0, starts_per_s=0.0, most_s=3.0)
+            slot = link.schedule_retry(
+                "chat", WORK, 0, starts_per_s=0.0, max_delay_s=3.0
+            )
             assert not slot.is_reserved
             assert zones.network.sent == 0
 
@@ -487,11 +489,11 @@
             directory.take(entries, is_whole=True)
             sockets[own.id] = PeerDatagrams(directory)
             await sockets[own.id].start(own.address)
-            links[own.id] = ReturnLink(sockets[own.id], rng=random.Random(own.id))
+            links[own.id] = ReservationLink(sockets[own.id], rng=random.Random(own.id))
         keepers = [one.id for one in links["i0"]._keepers(WORK)]
         first, second = (one for one in links if one not in keepers)
         slot = links[first].schedule_retry(
-            "chat", WORK, 0, starts_per_s=40.0, most_s=3.0
+            "chat", WORK, 0, starts_per_s=40.0, max_delay_s=3.0
         )
         async with asyncio.timeout(5):
             while not all(links[one].kept() for one in keepers):
--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -14,15 +14,15 @@
 import pytest
 
 from violethatch.membership import rendezvous
-from violethatch.return_slots import (
-    KEPT_S,
-    LEAST_S,
-    MOST_S,
-    MOST_WORKS,
+from violethatch.start_reservations import (
+    MAX_RESERVATIONS,
+    MAX_RETRY_S,
+    MIN_RETRY_S,
+    RESERVATION_TTL_S,
     SLOT_S,
     ClaimOutcome,
-    ReservedStarts,
-    ReturnSlots,
+    ReservationStore,
+    RetrySlots,
 )
 
 
@@ -78,8 +78,8 @@
 def replay(count, seed):
     """Refuse callers in one second; let them return to instances of their zones."""
     rng = random.Random(seed)
-    slots = [ReturnSlots(rng=rng) for _ in range(count)]
-    kept = [ReservedStarts() for _ in range(count)]
+    slots = [RetrySlots(rng=rng) for _ in range(count)]
+    kept = [ReservationStore() for _ in range(count)]
     callers = [Refused(number, rng) for number in range(REFUSED)]
     done = Replay(callers, *(collections.Counter() for _ in range(3)))
     coming = collections.defaultdict(list)
@@ -94,13 +94,13 @@
         slot = slots[instance].reserve(
             caller.priority,
             starts_per_s=room_a_s(now_s) / count,
-            most_s=(caller.until_s - now_s) / 3,
+            max_delay_s=(caller.until_s - now_s) / 3,
             now_s=now_s,
         )
         if slot.is_reserved:
             done.reserved[int(slot.at_s // SLOT_S)] += 1
             for one in keepers(caller):
-                one.keep(caller.work, slot.at_s, now_s=now_s)
+                one.add(caller.work, slot.at_s, now_s=now_s)
         if caller.first is None:
             caller.refused_s, caller.first = now_s, slot
             caller.first_instance = instance
@@ -253,7 +253,7 @@
 
 def slots_of(seed=1):
     """Return the slots of one instance."""
-    return ReturnSlots(rng=random.Random(seed))
+    return RetrySlots(rng=random.Random(seed))
 
 
 class TestReturnSlots:
@@ -294,8 +294,8 @@
         slots = slots_of()
         for _ in range(200):
             slot = slots.reserve(0, starts_per_s=40.0, most_s=most_s, now_s=100.0)
-            latest_s = max(LEAST_S, min(MOST_S, most_s))
-            assert slot.at_s - 100.0 >= LEAST_S - 1e-9
+            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, most_s))
+            assert slot.at_s - 100.0 >= MIN_RETRY_S - 1e-9
             assert slot.at_s - 100.0 <= latest_s + 1e-9
         assert not slot.is_reserved
         assert slot.at_s == pytest.approx(100.0 + latest_s)
@@ -344,8 +344,8 @@
 
 def kept_at(at_s):
     """Return reservations with one of the work."""
-    kept = ReservedStarts()
-    kept.keep(WORK, at_s, now_s=100.0)
+    kept = ReservationStore()
+    kept.add(WORK, at_s, now_s=100.0)
     return kept
 
 
@@ -366,7 +366,7 @@
 
     def test_reservation_expires(self):
         """It doesn't add to the room long after its time."""
-        late_s = 101.0 + KEPT_S
+        late_s = 101.0 + RESERVATION_TTL_S
         assert kept_at(101.0).claim(WORK, now_s=late_s - 0.01).outcome == "due"
         assert kept_at(101.0).claim(WORK, now_s=late_s).outcome == "unknown"
         assert kept_at(101.0).reserved(now_s=late_s) == 0
@@ -374,24 +374,24 @@
     def test_copy_that_comes_late(self):
         """Neither a used reservation nor its time is renewed by it."""
         kept = kept_at(101.0)
-        kept.keep(WORK, 101.2, now_s=100.2)
+        kept.add(WORK, 101.2, now_s=100.2)
         assert kept.claim(WORK, now_s=101.0).outcome is ClaimOutcome.DUE
-        kept.keep(WORK, 101.3, now_s=101.1)
+        kept.add(WORK, 101.3, now_s=101.1)
         assert kept.claim(WORK, now_s=101.3).outcome is ClaimOutcome.UNKNOWN
 
     def test_next_reservation_of_the_work(self):
         """One that is refused again after its start has another."""
         kept = kept_at(101.0)
         kept.claim(WORK, now_s=101.0)
-        kept.keep(WORK, 101.0 + LEAST_S, now_s=101.0)
+        kept.add(WORK, 101.0 + MIN_RETRY_S, now_s=101.0)
         assert kept.claim(WORK, now_s=101.6).outcome is ClaimOutcome.DUE
 
     def test_memory_is_bounded(self):
         """Works without number push out the oldest only."""
-        kept = ReservedStarts()
-        for n in range(2 * MOST_WORKS):
-            kept.keep(f"{n:032x}", 101.0, now_s=100.0)
-        assert kept.reserved(now_s=100.0) == MOST_WORKS
+        kept = ReservationStore()
+        for n in range(2 * MAX_RESERVATIONS):
+            kept.add(f"{n:032x}", 101.0, now_s=100.0)
+        assert kept.reserved(now_s=100.0) == MAX_RESERVATIONS
         assert kept.claim(f"{0:032x}", now_s=101.0).outcome == "unknown"
         last = f"{2 * MOST_WORKS - 1:032x}"
         assert kept.claim(last, now_s=101.0).outcome == "due"
--- a/tests/test_start_queue.py
+++ b/tests/test_start_queue.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from violethatch.start_queue import EXPIRE_INTERVAL_S, Offer, StartQueue, Waiting
+from violethatch.start_queue import EXPIRE_INTERVAL_S, Offer, QueuedRequest, StartQueue
 
 
 #: The planned capacity of fleet A (docs/design/overload.md), and the overload.
@@ -37,14 +37,16 @@
 ]
 
 
-def request(name: str, priority: int = 0, read_s: float = 0.0, **kwargs) -> Waiting:
+def request(
+    name: str, priority: int = 0, read_s: float = 0.0, **kwargs
+) -> QueuedRequest:
     """Return a request with a target of 0.5 s."""
     times = {"read_s": read_s, "limit_s": read_s + 0.125, "target_s": read_s + 0.5}
     fields = {"tokens": 900.0, "size_bytes": 1_000, **times, **kwargs}
-    return Waiting(name, priority, **fields)
+    return QueuedRequest(name, priority, **fields)
 
 
-def arrivals(rng: random.Random) -> list[tuple[Waiting, float]]:
+def arrivals(rng: random.Random) -> list[tuple[QueuedRequest, float]]:
     """Return requests with their prompts' tokens, which have a heavy tail."""
     found = []
     now_s = rng.expovariate(OVERLOAD * STARTS_PER_S)
@@ -54,7 +56,7 @@
         # The means of the bounded draws are 760 and 170 tokens.
         prompt = min(2_280.0, rng.lognormvariate(6.38, 0.8))
         tokens = prompt + min(600.0, rng.expovariate(1 / 177))
-        one = Waiting(
+        one = QueuedRequest(
             str(len(found)),
             priority,
             tokens,
@@ -71,7 +73,7 @@
 class Played(NamedTuple):
     """What a replay has shown; `fates` are outcomes and their times by request."""
 
-    offered: list[tuple[Waiting, float]]
+    offered: list[tuple[QueuedRequest, float]]
     fates: dict[str, list[tuple[str, float]]]
     top_requests: int
     top_bytes: int
@@ -91,7 +93,7 @@
         return statistics.fmean(it[1] for it in chosen[: int(part * len(chosen))])
 
 
-def starts_in_time(queue: StartQueue, one: Waiting, now_s: float) -> bool:
+def starts_in_time(queue: StartQueue, one: QueuedRequest, now_s: float) -> bool:
     """Tell whether a request starts by its limit if no more arrive."""
     queue = pickle.loads(pickle.dumps(queue))
     while True:
@@ -115,12 +117,12 @@
     events += [(phase_s + EXPIRE_INTERVAL_S * tick, 2, None) for tick in ticks]
     events.sort(key=lambda event: event[:2])
 
-    queue = StartQueue(most_requests=most_requests, most_bytes=most_bytes)
-    waiting: dict[str, Waiting] = {}
+    queue = StartQueue(max_requests=most_requests, max_bytes=most_bytes)
+    waiting: dict[str, QueuedRequest] = {}
     fates = collections.defaultdict(list)
     free = top_requests = top_bytes = overtaken = hopeless = 0
 
-    def end(one: Waiting, outcome: str) -> None:
+    def end(one: QueuedRequest, outcome: str) -> None:
         waiting.pop(one.id, None)
         fates[one.id].append((outcome, now_s))
 
@@ -129,7 +131,7 @@
             offer = queue.offer(one, starts_per_s=STARTS_PER_S, now_s=now_s)
             if offer.displaced is not None:
                 end(offer.displaced, "displaced")
-            if not offer.is_taken:
+            if not offer.is_queued:
                 end(one, "refused")
             else:
                 waiting[one.id] = one
@@ -193,10 +195,10 @@
 class TestOffer:
     def test_displaces_the_last_of_the_least_urgent(self):
         """Guards against urgent requests being refused while others wait."""
-        queue = StartQueue(most_requests=3, most_bytes=10_000)
+        queue = StartQueue(max_requests=3, max_bytes=10_000)
         for name, priority, read_s in (("a", 5, 0), ("b", 5, 0.01), ("c", 3, 0.02)):
             one = request(name, priority, read_s)
-            assert queue.offer(one, starts_per_s=300.0, now_s=0.02).is_taken
+            assert queue.offer(one, starts_per_s=300.0, now_s=0.02).is_queued
         one = request("d", 1, 0.02)
         offer = queue.offer(one, starts_per_s=300.0, now_s=0.02)
         assert offer == Offer(True, request("b", 5, 0.01))
@@ -206,10 +208,10 @@
 
     def test_displaces_nobody_in_vain(self):
         """Guards against refusing two where one displaced frees too little."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
         for name in "ab":
             one = request(name, 5, size_bytes=2_000)
-            assert queue.offer(one, starts_per_s=300.0, now_s=0.0).is_taken
+            assert queue.offer(one, starts_per_s=300.0, now_s=0.0).is_queued
         huge = request("c", 0, size_bytes=9_000)
         refused = queue.offer(huge, starts_per_s=300.0, now_s=0.0)
         assert refused == Offer(False, None)
@@ -218,21 +220,21 @@
     @pytest.mark.parametrize("starts_per_s", [0.0, -1.0, float("nan")])
     def test_nothing_starts(self, starts_per_s: float):
         """Guards against holding requests while no runner is left."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
         offer = queue.offer(request("a"), starts_per_s=starts_per_s, now_s=0.0)
         assert offer == Offer(False, None)
 
     def test_same_id(self):
         """Guards against losing the first of two requests with one id."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
-        assert queue.offer(request("a"), starts_per_s=300.0, now_s=0.0).is_taken
-        assert not queue.offer(request("a"), starts_per_s=300.0, now_s=0.0).is_taken
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
+        assert queue.offer(request("a"), starts_per_s=300.0, now_s=0.0).is_queued
+        assert not queue.offer(request("a"), starts_per_s=300.0, now_s=0.0).is_queued
         assert len(queue) == 1
 
     @pytest.mark.parametrize("passed_s", [0.0, 5.0, 16.0, 1_000.0])
     def test_counts_on_starts_that_are_left(self, passed_s: float):
         """Guards against queueing behind a stream of urgent starts, or an old one."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         now_s = 0.0
         for number in range(600):
             now_s = number / 300.0
@@ -244,11 +246,11 @@
             queue.offer(request(name, 1, now_s), starts_per_s=300.0, now_s=now_s)
             for name in "ab"
         ]
-        assert [one.is_taken for one in taken] == [True, passed_s > 0.0]
+        assert [one.is_queued for one in taken] == [True, passed_s > 0.0]
 
     def test_old_starts_are_forgotten_at_a_start(self):
         """Guards against keeping old rates where a start renews their scale."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         for number in range(600):
             now_s = 12.99 + number / 300.0
             queue.offer(request(f"u{number}", 0, now_s), starts_per_s=300, now_s=now_s)
@@ -258,23 +260,23 @@
         assert queue.next(now_s=15.02) is not None
         for name in "ab":
             one = request(name, 1, 17.02)
-            assert queue.offer(one, starts_per_s=300.0, now_s=17.02).is_taken
+            assert queue.offer(one, starts_per_s=300.0, now_s=17.02).is_queued
 
     @pytest.mark.parametrize("tokens", [[900.0] * 200, [100.0, 2_000.0] * 100])
     def test_sizes_that_tie(self, tokens: list[float]):
         """Guards against misorder where no tenth can be told from the others."""
-        queue = StartQueue(most_requests=99, most_bytes=100_000)
+        queue = StartQueue(max_requests=99, max_bytes=100_000)
         for number, one in enumerate(tokens):
             now_s = 0.01 * number
             offered = request(str(number), 0, now_s, tokens=one)
-            assert queue.offer(offered, starts_per_s=300.0, now_s=now_s).is_taken
+            assert queue.offer(offered, starts_per_s=300.0, now_s=now_s).is_queued
             if number:
                 assert queue.next(now_s=now_s).id == str(number - 1)
 
     @pytest.mark.parametrize("priority", [-1, 100])
     def test_priority_out_of_range(self, priority: int):
         """Guards against unbounded state by priority."""
-        queue = StartQueue(most_requests=9, most_bytes=10_000)
+        queue = StartQueue(max_requests=9, max_bytes=10_000)
         with pytest.raises(ValueError, match="priority"):
             queue.offer(request("a", priority), starts_per_s=300.0, now_s=0.0)
 
@@ -282,10 +284,10 @@
 class TestOperations:
     def test_pause_of_the_process(self):
         """Guards against starting or holding what is past its limit after 10 s."""
-        queue = StartQueue(most_requests=30, most_bytes=100_000)
+        queue = StartQueue(max_requests=30, max_bytes=100_000)
         for number in range(30):
             one = request(str(number), number % 3)
-            assert queue.offer(one, starts_per_s=300.0, now_s=0.0).is_taken
+            assert queue.offer(one, starts_per_s=300.0, now_s=0.0).is_queued
         assert queue.next(now_s=10.0) is None
         expired = queue.expire(now_s=10.0)
         assert sorted(int(one.id) for one in expired) == list(range(30))
@@ -293,25 +295,25 @@
 
     def test_order_of_limits(self):
         """Guards against starting in the order of arrival within a priority."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         for name, read_s in (("a", 0.02), ("b", 0.0), ("c", 0.01)):
             queue.offer(request(name, 0, read_s), starts_per_s=300.0, now_s=0.02)
         assert [queue.next(now_s=0.03).id for _ in range(3)] == ["b", "c", "a"]
 
     def test_resize(self):
         """Guards against keeping what no longer fits, or refusing urgent ones."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         for name, priority in (("a", 2), ("b", 0), ("c", 2), ("d", 1)):
             queue.offer(request(name, priority), starts_per_s=300.0, now_s=0.0)
-        refused = queue.resize(most_requests=3, most_bytes=2_000)
+        refused = queue.resize(max_requests=3, max_bytes=2_000)
         assert [one.id for one in refused] == ["c", "a"]
         assert (len(queue), queue.size_bytes) == (2, 2_000)
         with pytest.raises(ValueError, match="at least 1"):
-            queue.resize(most_requests=0, most_bytes=1)
+            queue.resize(max_requests=0, max_bytes=1)
 
     def test_oldest_wait(self):
         """Guards against a figure of a request that has left the queue."""
-        queue = StartQueue(most_requests=9, most_bytes=100_000)
+        queue = StartQueue(max_requests=9, max_bytes=100_000)
         assert queue.oldest_wait_s(1.0) == 0.0
         for name, read_s in (("a", 0.0), ("b", 0.02)):
             queue.offer(request(name, 0, read_s), starts_per_s=300.0, now_s=0.02)
@@ -328,7 +330,7 @@
 
 def calls_of_a_turn(waiting: int) -> float:
     """Return the mean number of calls of next, offer and expire together."""
-    queue = StartQueue(most_requests=waiting, most_bytes=10**9)
+    queue = StartQueue(max_requests=waiting, max_bytes=10**9)
     rng = random.Random(1)
     count = 0
 
@@ -355,14 +357,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.queue = StartQueue(most_requests=6, most_bytes=6_000)
+        self.queue = StartQueue(max_requests=6, max_bytes=6_000)
         self.bounds = (6, 6_000)
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, QueuedRequest] = {}
         self.ended: dict[str, str] = {}
         self.offers = 0
         self.now_s = 0.0
 
-    def end(self, one: Waiting, outcome: str) -> None:
+    def end(self, one: QueuedRequest, outcome: str) -> None:
         assert self.waiting.pop(one.id) == one
         assert one.id not in self.ended
         self.ended[one.id] = outcome
@@ -382,7 +384,7 @@
         self.offers += 1
         self.waiting[one.id] = one
         offer = self.queue.offer(one, starts_per_s=starts_per_s, now_s=self.now_s)
-        if not offer.is_taken:
+        if not offer.is_queued:
             self.end(one, "refused")
             assert offer.displaced is None
         if offer.displaced is not None:
@@ -416,7 +418,7 @@
     @rule(most_requests=st.integers(1, 6), most_bytes=st.integers(1, 6_000))
     def resize(self, most_requests, most_bytes):
         self.bounds = (most_requests, most_bytes)
-        refused = self.queue.resize(most_requests=most_requests, most_bytes=most_bytes)
+        refused = self.queue.resize(max_requests=most_requests, max_bytes=most_bytes)
         priorities = [one.priority for one in refused]
         assert priorities == sorted(priorities, reverse=True)
         for one in refused:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -66,7 +66,7 @@
         got, routing = await serve(client, A)
         assert (got.status, got.headers, got.end) == (200, (("Proof", "one"),), "whole")
         assert got.body == events(1, 2, 3)
-        assert routing.loads.fullness(A, admitted().service.engine, now_s=0) == 0
+        assert routing.loads.utilization(A, admitted().service.engine, now_s=0) == 0
 
     async def test_send_names_path_and_rest_of_time(self):
         """What is sent names the path, the workspace and the deadline."""
