--- a/src/violethatch/start_queue.py
+++ b/src/violethatch/start_queue.py
@@ -75,7 +75,7 @@
     """What became of a request that was offered to the queue.
 
     Attributes:
-        is_taken: Whether it waits now; otherwise it is to be refused now.
+        is_queued: Whether it waits now; otherwise it is to be refused now.
         displaced: A request to be refused now, in favour of a more urgent one.
 
     .. versionadded:: 26.5.0
@@ -224,8 +224,8 @@
     then moves up to 8 bytes for each of the waiting requests.
 
     Args:
-        most_requests: How many requests wait at most.
-        most_bytes: How many bytes they hold at most.
+        max_requests: How many requests wait at most.
+        max_bytes: How many bytes they hold at most.
 
     Raises:
         ValueError: A bound is below 1.
@@ -381,8 +381,8 @@
         """Change the bounds, and take out what no longer fits.
 
         Args:
-            most_requests: How many requests wait at most.
-            most_bytes: How many bytes they hold at most.
+            max_requests: How many requests wait at most.
+            max_bytes: How many bytes they hold at most.
 
         Returns:
             The requests to be refused now, the least urgent first.
