--- a/src/violethatch/_callers.py
+++ b/src/violethatch/_callers.py
@@ -134,7 +134,7 @@
     async def wait_idle(self, timeout_s: float) -> bool:
         """Wait until no request is in progress; tell whether that came."""
         give_up_s = clocks.now_s() + timeout_s
-        while self.in_flight or self._keyed.unsettled:
+        while self.in_flight or self._keyed.unsettled_count:
             if clocks.now_s() > give_up_s:
                 return False
             await asyncio.sleep(0.02)
--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -49,10 +49,12 @@
         give_up_s: How long to retry a write whose responses are lost, in seconds.
     """
 
-    def __init__(self, table: Table, *, interval_s: float, give_up_s: float) -> None:
+    def __init__(
+        self, table: Table, *, interval_s: float, retry_timeout_s: float
+    ) -> None:
         self._table = table
         self._interval_s = interval_s
-        self._retry_timeout_s = give_up_s
+        self._retry_timeout_s = retry_timeout_s
         self._queue: list[_PendingWrite] = []
         self._wake = asyncio.Event()
 
@@ -151,7 +153,7 @@
     failure: str
 
 
-async def reply_to(writer: RowWriter, put: Put) -> WriteReply:
+async def write_for_peer(writer: RowWriter, put: Put) -> WriteReply:
     """Write for another instance and return the response."""
     try:
         return WriteReply(await writer.write(put), "")
@@ -175,12 +177,12 @@
         self,
         local: RowWriter,
         *,
-        chosen: Callable[[], str],
+        writer_id: Callable[[], str],
         own_id: str,
         forward: Callable[[str, Sequence[Put]], Awaitable[Sequence[WriteReply] | None]],
     ) -> None:
         self._local = local
-        self._writer_id = chosen
+        self._writer_id = writer_id
         self._own_id = own_id
         self._forward = forward
         self._queue: list[tuple[Put, asyncio.Future[WriteReply | None]]] = []
--- a/src/violethatch/_driver.py
+++ b/src/violethatch/_driver.py
@@ -143,7 +143,7 @@
             PipelineFailedError: No budget, or no replacement in time.
         """
         if failure.refusal == wire.Refusal.LEAVING:
-            self._fleet.refused_as_leaving(failure.runner_id)
+            self._fleet.record_leaving_refusal(failure.runner_id)
         run.excluded.add(failure.runner_id)
         if not self._budget.withdraw():
             msg = f"{failure}; the retry budget is used up"
--- a/src/violethatch/_entry.py
+++ b/src/violethatch/_entry.py
@@ -20,7 +20,7 @@
 
 from . import clocks, events
 from ._callers import CallerLimits, Callers
-from ._claim_writer import ClaimWriter, ZoneClaimWriter, reply_to
+from ._claim_writer import ClaimWriter, ZoneClaimWriter, write_for_peer
 from ._config import ConfigKeeper
 from ._driver import Driver
 from ._engine_link import EngineLink
@@ -158,11 +158,11 @@
         self._local_writer = ClaimWriter(
             table,
             interval_s=policy.table_write_interval_s,
-            give_up_s=platform.timeout_s,
+            retry_timeout_s=platform.timeout_s,
         )
         self._writer = ZoneClaimWriter(
             self._local_writer,
-            chosen=lambda: self._chosen_for(_CLAIMS_JOB),
+            writer_id=lambda: self._chosen_for(_CLAIMS_JOB),
             own_id=settings.instance.id,
             forward=lambda peer_id, puts: self._peers.forward(peer_id, puts),
         )
@@ -171,7 +171,7 @@
             self._writer,
             objects,
             outcome_wait_s=policy.outcome_wait_s,
-            is_gone=self._is_gone,
+            is_instance_gone=self._is_gone,
             spawn=self._spawn,
         )
         self._keyed = keyed
@@ -202,7 +202,7 @@
             rng=self._rng,
             encoded_revision=self._config.encoded,
             take_revision=self._config.take_encoded,
-            write=lambda put: reply_to(self._local_writer, put),
+            write=lambda put: write_for_peer(self._local_writer, put),
             connections=settings.limits.connections,
         )
         self._lease = LeaseHolder(
@@ -277,7 +277,7 @@
         """Take out the runners that operators want out."""
         runners = self._config.current["document"]["runners"]
         leaving = {name for name, spec in runners.items() if spec["leaving"]}
-        self._fleet.follow_operators(leaving)
+        self._fleet.update_operator_marks(leaving)
 
     async def _follow_list(self, session: aiohttp.ClientSession) -> None:
         """Follow the platform's instance list until cancelled."""
@@ -297,7 +297,7 @@
     def _take_list(self, listed: list[ListedInstance]) -> None:
         """Follow a list that was read."""
         zone = self._settings.instance.availability_zone
-        self._fleet.follow(listed)
+        self._fleet.update_runners(listed)
         self._services.follow(listed, availability_zone=zone)
         self._peers.follow(listed)
         self._follow_operators()
@@ -341,7 +341,7 @@
             revision=self._config.revision,
             config_digest=self._config.current["digest"],
             in_flight=self._callers.in_flight,
-            outcomes_unsettled=self._keyed.unsettled,
+            outcomes_unsettled=self._keyed.unsettled_count,
             zone_members=self._gossip.zone_members(),
             orders_epoch=self._lease.epoch(),
             runners=self._fleet.state(),
--- a/src/violethatch/_fleet.py
+++ b/src/violethatch/_fleet.py
@@ -104,7 +104,7 @@
             for link in self._links.values():
                 link.check_timeouts(now_s)
 
-    def follow(self, listed: Iterable[ListedInstance]) -> None:
+    def update_runners(self, listed: Iterable[ListedInstance]) -> None:
         """Connect to the listed runners that are assigned to this instance.
 
         A runner that isn't assigned any more gets no new work, but keeps its
@@ -127,7 +127,7 @@
             if link.hello is None and link.load_view.own == 0:
                 self._remove(runner_id)
 
-    def follow_operators(self, leaving: Collection[str]) -> None:
+    def update_operator_marks(self, leaving: Collection[str]) -> None:
         """Mark the runners that operators drain, and clear their other marks."""
         for runner_id in self._links:
             self._mark(runner_id, "operator", runner_id in leaving)
@@ -181,7 +181,7 @@
         link.load_view.closed(now_s=clocks.now_s())
         link.cancel(request, epoch)
 
-    def refused_as_leaving(self, runner_id: str) -> None:
+    def record_leaving_refusal(self, runner_id: str) -> None:
         """Record that a runner rejected a request because it is draining."""
         self._mark(runner_id, "refusal", True)
 
--- a/src/violethatch/_fleet_watch.py
+++ b/src/violethatch/_fleet_watch.py
@@ -71,7 +71,7 @@
         is_unchanged = now_s - self._empty_changed_s >= _SETTLE_S
         return is_unchanged or now_s - self._without_layers_since_s >= _SETTLE_LIMIT_S
 
-    def is_at_rest(self, servers: Mapping[str, BackendServer], *, now_s: float) -> bool:
+    def is_stable(self, servers: Mapping[str, BackendServer], *, now_s: float) -> bool:
         """Return whether the list has been unchanged for long enough to move layers."""
         ids = frozenset(servers)
         if ids != self._last_ids:
@@ -79,7 +79,7 @@
             self._ids_changed_s = now_s
         return now_s - self._ids_changed_s >= _REPAIR_SETTLE_S
 
-    def idle_for_long(
+    def long_idle(
         self, servers: Mapping[str, BackendServer], *, now_s: float
     ) -> frozenset[str]:
         """Return the ids of the runners that have been without layers for long."""
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -62,14 +62,14 @@
         objects: ObjectStore,
         *,
         outcome_wait_s: float,
-        is_gone: Callable[[str], bool],
+        is_instance_gone: Callable[[str], bool],
         spawn: Callable[[Coroutine[None, None, None]], object],
     ) -> None:
         self._table = table
         self._writer = writer
         self._objects = objects
         self._outcome_wait_s = outcome_wait_s
-        self._is_gone = is_gone
+        self._is_gone = is_instance_gone
         self._spawn = spawn
         #: This process's operations whose outcome is not stored yet.
         self._unsettled: set[str] = set()
@@ -176,7 +176,7 @@
         )
 
     @property
-    def unsettled(self) -> int:
+    def unsettled_count(self) -> int:
         """The number of operations whose outcome is not stored yet."""
         return len(self._unsettled)
 
--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placing.py
@@ -244,10 +244,10 @@
         situation = Situation(
             hosts=tuple(self._host(server) for server in servers.values()),
             engine=service.engine,
-            copying=watch.idle_for_long(servers, now_s=now_s).difference(
+            copying=watch.long_idle(servers, now_s=now_s).difference(
                 self._ordered, self._waiting
             ),
-            is_repairing=watch.is_at_rest(servers, now_s=now_s),
+            is_repairing=watch.is_stable(servers, now_s=now_s),
         )
         plan = self._plans.plan(
             service.name, situation, is_holder=self.is_holder, now_s=now_s
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -43,13 +43,13 @@
 
     def __init__(self, *, grace_s: float) -> None:
         self.grace_s = grace_s
-        self.asked_s: float | None = None
+        self.requested_s: float | None = None
         self._is_closing = False
 
-    def ask(self, *, now_s: float) -> None:
+    def request_stop(self, *, now_s: float) -> None:
         """Record the shutdown request; a repeated request has no effect."""
-        if self.asked_s is None:
-            self.asked_s = now_s
+        if self.requested_s is None:
+            self.requested_s = now_s
 
     def close(self) -> None:
         """Reject new calls; those in flight complete before connections close."""
@@ -58,7 +58,7 @@
     @property
     def is_stopping(self) -> bool:
         """Whether a shutdown was requested."""
-        return self.asked_s is not None
+        return self.requested_s is not None
 
     def refusal(
         self,
@@ -80,9 +80,9 @@
         """
         if self._is_closing:
             return "the instance is closing its connections"
-        if self.asked_s is None:
+        if self.requested_s is None:
             return None
-        elapsed_s = now_s - self.asked_s
+        elapsed_s = now_s - self.requested_s
         accept_s = self.grace_s - _CALL_MARGIN_S
         if is_stream:
             accept_s = min(_STREAM_ACCEPT_S, accept_s)
@@ -97,9 +97,9 @@
 
     def left_s(self, *, now_s: float) -> float:
         """Return the remaining run time of the process, in seconds."""
-        if self.asked_s is None:
+        if self.requested_s is None:
             return float("inf")
-        return max(0.0, self.asked_s + self.grace_s - _EXIT_MARGIN_S - now_s)
+        return max(0.0, self.requested_s + self.grace_s - _EXIT_MARGIN_S - now_s)
 
 
 def _quantile(durations_s: Sequence[float], fraction: float) -> float:
--- a/src/violethatch/leases.py
+++ b/src/violethatch/leases.py
@@ -30,7 +30,7 @@
 _MAX_DURATION_S = 600.0
 #: Epochs skipped for each restore of the store, more than its backup can be behind:
 #: a grant takes some tenths of a second, and a backup is some seconds old.
-EPOCHS_A_RESTORE = 1000
+EPOCHS_PER_RESTORE = 1000
 
 
 class LeaseValue(TypedDict):
@@ -173,7 +173,7 @@
 
     def _skipped_epochs(self) -> int:
         """Return how many epochs to skip for grants that a restore may have lost."""
-        return EPOCHS_A_RESTORE * max(0, self.era - max(0, self._row_era()))
+        return EPOCHS_PER_RESTORE * max(0, self.era - max(0, self._row_era()))
 
     def _row_era(self) -> int:
         """Return the store's era in which the row was written, or `NO_ERA`."""
--- a/src/violethatch/platform/_process.py
+++ b/src/violethatch/platform/_process.py
@@ -196,7 +196,7 @@
     async def _drain(self, parts: Parts) -> None:
         """Finish what was taken, as long as there is time."""
         router = parts.router
-        router.stop_plan.ask(now_s=clocks.now_s())
+        router.stop_plan.request_stop(now_s=clocks.now_s())
         events.log(events.DRAINING, in_flight=router.in_flight)
         started_s = clocks.now_s()
         await asyncio.gather(parts.duty.resign(), parts.following.leave())
--- a/tests/test_callers_listener.py
+++ b/tests/test_callers_listener.py
@@ -128,7 +128,7 @@
     def stop_in(self, left_s):
         """Ask for the stop, so long before the process has to leave."""
         plan = self.router.stop_plan
-        plan.ask(now_s=clocks.now_s())
+        plan.request_stop(now_s=clocks.now_s())
         plan.grace_s += left_s - plan.left_s(now_s=clocks.now_s())
 
     def count(self, outcome):
@@ -221,7 +221,7 @@
     asking = asyncio.create_task(site.ask("c1", session))
     await asyncio.sleep(0.05)
     site.router.stop_plan.grace_s = 1.0
-    site.router.stop_plan.ask(now_s=clocks.now_s())
+    site.router.stop_plan.request_stop(now_s=clocks.now_s())
     async with asyncio.timeout(2):
         await site.listener.close()
         assert await asking == 502
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -36,7 +36,7 @@
             return rng.choice(median_s) * rng.lognormvariate(0.0, spread)
 
         plan = StopPlan(grace_s=GRACE_S)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         earlier_s = [drawn() for _ in range(40)]
         recent_s = earlier_s if is_informed else ()
         at_s = rng.expovariate(STREAMS_PER_S)
@@ -78,13 +78,13 @@
     def test_nothing_known(self):
         """Guards against refusals by an instance that has just started."""
         plan = StopPlan(grace_s=GRACE_S)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         assert plan.refusal(is_stream=True, now_s=0.1, recent_s=()) is None
 
     def test_caller_has_less_time_than_is_left(self):
         """Guards against refusals of what its own limit ends in time."""
         plan = StopPlan(grace_s=GRACE_S)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         taken = {"is_stream": True, "now_s": 1.0, "recent_s": [20.0]}
         assert plan.refusal(**taken, limit_s=20.0)
         assert plan.refusal(**taken, limit_s=6.0) is None
@@ -92,14 +92,14 @@
     def test_reason_tells_the_figures(self):
         """Guards against a refusal whose line doesn't say what decided it."""
         plan = StopPlan(grace_s=GRACE_S)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         reason = plan.refusal(is_stream=True, now_s=1.0, recent_s=[9.0])
         assert reason == "it may take 9.0 s, and 6.3 s are left"
 
     def test_late_calls_all_end(self):
         """Guards against a late call that is cut: nothing excuses that."""
         plan = StopPlan(grace_s=GRACE_S)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         recent_s = [0.2] * 39 + [4.0]
         call = {"is_stream": False, "recent_s": recent_s}
         assert plan.refusal(**call, now_s=2.9) is None
@@ -139,7 +139,7 @@
     def test_streams_end_before_other_calls(self):
         """The balancer's next callers are served; long answers are not begun."""
         plan = StopPlan(grace_s=8.0)
-        plan.ask(now_s=100.0)
+        plan.request_stop(now_s=100.0)
         assert plan.refusal(is_stream=True, now_s=102.0) is None
         assert plan.refusal(is_stream=True, now_s=103.0)
         assert plan.refusal(is_stream=False, now_s=105.0) is None
@@ -148,21 +148,21 @@
     def test_leaves_before_it_is_killed(self):
         """The process ends by itself within the grace."""
         plan = StopPlan(grace_s=8.0)
-        plan.ask(now_s=100.0)
+        plan.request_stop(now_s=100.0)
         assert plan.left_s(now_s=107.9) == 0.0
         assert 0 < plan.left_s(now_s=107.0) < 1.0
 
     def test_asked_again_changes_nothing(self):
         """A second request does not prolong the grace."""
         plan = StopPlan(grace_s=8.0)
-        plan.ask(now_s=100.0)
-        plan.ask(now_s=105.0)
+        plan.request_stop(now_s=100.0)
+        plan.request_stop(now_s=105.0)
         assert plan.left_s(now_s=107.9) == 0.0
 
     def test_short_grace_takes_nothing_late(self):
         """With hardly any grace, no call is taken that could not end."""
         plan = StopPlan(grace_s=2.0)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         assert plan.refusal(is_stream=True, now_s=0.1)
         assert plan.refusal(is_stream=False, now_s=0.1)
 
@@ -172,5 +172,5 @@
         plan.close()
         assert plan.refusal(is_stream=True, now_s=0.0)
         assert plan.refusal(is_stream=False, now_s=0.0)
-        plan.ask(now_s=0.0)
+        plan.request_stop(now_s=0.0)
         assert plan.refusal(is_stream=False, now_s=0.0)
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -96,13 +96,13 @@
         self.objects = FakeObjects()
         self.sent = 0
         self.tasks = set()
-        self.writer = ClaimWriter(table, interval_s=0.001, give_up_s=give_up_s)
+        self.writer = ClaimWriter(table, interval_s=0.001, retry_timeout_s=give_up_s)
         self.keyed = KeyedCalls(
             table,
             self.writer,
             self.objects,
             outcome_wait_s=0.3,
-            is_gone=lambda owner: gone,
+            is_instance_gone=lambda owner: gone,
             spawn=self._spawn,
         )
 
@@ -303,7 +303,7 @@
         """Provide a writer whose zone's writer is another instance."""
         async with Caller(table) as caller:
             writer = ZoneClaimWriter(
-                caller.writer, chosen=lambda: "b", own_id="a", forward=forward
+                caller.writer, writer_id=lambda: "b", own_id="a", forward=forward
             )
             task = asyncio.create_task(writer.run())
             yield writer
--- a/tests/test_lease_after_restore.py
+++ b/tests/test_lease_after_restore.py
@@ -10,7 +10,7 @@
 
 from violethatch import clocks
 from violethatch._placement_lease import LeaseWrite, PlacementLease
-from violethatch.leases import EPOCHS_A_RESTORE, Lease
+from violethatch.leases import EPOCHS_PER_RESTORE, Lease
 from violethatch.ports import Row
 from violethatch.router_settings import RouterPolicySection
 from violethatch.store_era import StoreEra
@@ -74,7 +74,7 @@
         step(second, store, 10.0)
         assert second.held_epoch(now_s=10.0) is None
         step(second, store, 10.0 + DURATION_S)
-        assert lost < second.held_epoch(now_s=14.0) <= lost + EPOCHS_A_RESTORE
+        assert lost < second.held_epoch(now_s=14.0) <= lost + EPOCHS_PER_RESTORE
 
     def test_row_that_the_copy_lacks_is_taken_at_once(self):
         """Its holder may still give orders: a takeover waits for the whole lease."""
