--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -46,7 +46,7 @@
     Args:
         table: The table to write to.
         interval_s: Min time between transactions, in seconds.
-        give_up_s: How long to retry a write whose responses are lost, in seconds.
+        retry_timeout_s: How long to retry a write whose responses are lost, in seconds.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
     async def _write_batch(self, batch: list[_PendingWrite]) -> None:
         """Write a batch; retry without the writes that have conflicts."""
         may_have_written = False
-        give_up_s = clocks.now_s() + self._retry_timeout_s
+        deadline_s = clocks.now_s() + self._retry_timeout_s
         while batch:
             error: Exception
             try:
@@ -115,7 +115,7 @@
             else:
                 batch = _resolve_writes(batch, conflicts)
                 continue
-            if not may_have_written or clocks.now_s() > give_up_s:
+            if not may_have_written or clocks.now_s() > deadline_s:
                 # Certainly not written only if no attempt's response was lost.
                 final = AnswerLostError(str(error)) if may_have_written else error
                 for _, future in batch:
@@ -168,7 +168,7 @@
 
     Args:
         local: Writes directly to the table.
-        chosen: Returns the instance id of the zone's writer.
+        writer_id: Returns the instance id of the zone's writer.
         own_id: Id of this instance.
         forward: Sends writes to a peer; returns None if it does not respond.
     """
--- a/src/violethatch/_fleet.py
+++ b/src/violethatch/_fleet.py
@@ -159,8 +159,8 @@
         preferred = [
             candidate for candidate in matching if candidate.runner_id not in excluded
         ]
-        chosen = self._route_policy.choose(preferred or matching, layer_count=1)
-        return chosen[0]._replace(layers=layers) if chosen else None
+        route = self._route_policy.choose(preferred or matching, layer_count=1)
+        return route[0]._replace(layers=layers) if route else None
 
     async def wait_changed(self, timeout_s: float) -> None:
         """Wait up to *timeout_s* until the state of a runner changes."""
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -51,7 +51,7 @@
         writer: Writes claims and outcomes.
         objects: Stores large response bodies.
         outcome_wait_s: How long to wait for another claimant's outcome, in seconds.
-        is_gone: Returns whether a claim's owner is known to be terminated.
+        is_instance_gone: Returns whether a claim's owner is known to be terminated.
         spawn: Starts a background task.
     """
 
