--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """Batched writes of claims, by a single writer for each availability zone.
 
-Claims and outcomes of all instances of a zone are forwarded to the zone's elected
+Claims and outcomes of all instances of a zone are forwarded to the zone's selected
 writer, so that the number of transactions depends on zones and time and not on
 calls.  The instances need not agree on the writer: a claim's write is idempotent,
 also when several instances send it.
@@ -87,8 +87,8 @@
     def _take_batch(self) -> list[_PendingWrite]:
         """Remove writes of different rows from the queue, in order.
 
-        Two writes of the same row must not share a transaction: the second has to
-        see the result of the first.
+        Two writes of the same row must not share a transaction: each has to
+        see the other's result.
         """
         batch: dict[str, _PendingWrite] = {}
         remaining = []
--- a/src/violethatch/_fleet_watch.py
+++ b/src/violethatch/_fleet_watch.py
@@ -54,7 +54,7 @@
         if not servers:
             self._without_layers_since_s = None
             return False
-        # Changes are tracked even while entries of terminated runners are still listed.
+        # Tracked even while entries of terminated runners are still listed.
         empty_ids = frozenset(
             server.id for server in servers.values() if not server.layers
         )
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -69,7 +69,7 @@
         self._writer = writer
         self._objects = objects
         self._outcome_wait_s = outcome_wait_s
-        self._is_gone = is_instance_gone
+        self._is_instance_gone = is_instance_gone
         self._spawn = spawn
         #: This process's operations whose outcome is not stored yet.
         self._unsettled: set[str] = set()
@@ -171,7 +171,7 @@
 
     def _is_abandoned(self, row: Row) -> bool:
         """Return whether the claim's owner terminated before storing an outcome."""
-        return row.value["op_id"] not in self._unsettled and self._is_gone(
+        return row.value["op_id"] not in self._unsettled and self._is_instance_gone(
             row.value["owner"]
         )
 
