--- a/src/violethatch/_placing.py
+++ b/src/violethatch/_placement_controller.py
@@ -73,7 +73,7 @@
         return server.layers == self.layers or now_s >= self.until_s
 
 
-class PlacementDuty:
+class PlacementController:
     """Keeps the model's layers held, by orders under a lease.
 
     Args:
@@ -115,7 +115,7 @@
         """Whether orders may be given now."""
         return self._lease.is_held
 
-    def take_policy(self, policy: RouterPolicySection) -> None:
+    def update_policy(self, policy: RouterPolicySection) -> None:
         """Take changed times of the lease in."""
         self._lease.take_policy(policy)
 
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -328,7 +328,9 @@
     def apply_desired_state(self, view: TableView, _is_whole: bool) -> None:
         """Take the desired state in at one go, if it is newer."""
         slices = Slices()
-        self._put_in_force(view, slices.run_whole(self._desired_steps(view)), slices)
+        self._put_in_force(
+            view, slices.run_to_completion(self._desired_steps(view)), slices
+        )
 
     async def apply_desired_state_in_slices(
         self, view: TableView, _is_whole: bool
@@ -367,11 +369,11 @@
         """Put a desired state in force that is whole, if there is one."""
         if state is None:
             return
-        with slices.at_one_go():
+        with slices.unsliced():
             self.desired = state
             self._desired_value = view.values["config"]
             self.routing.admission.apply_desired_state(state)
-        self.metrics.state_taken(slices.took_s, slices.longest_s)
+        self.metrics.state_taken(slices.elapsed_s, slices.max_slice_s)
         self.record_start_step(Step.DESIRED_STATE)
         events.log(
             events.REVISION_APPLIED,
@@ -380,9 +382,9 @@
             row_version=view.version,
             era=view.era,
             source=view.source,
-            took_s=round(slices.took_s, 4),
+            took_s=round(slices.elapsed_s, 4),
             slices=slices.count,
-            longest_hold_s=round(slices.longest_s, 4),
+            longest_hold_s=round(slices.max_slice_s, 4),
         )
 
     def apply_server_list(self, view: TableView, is_whole: bool) -> None:
--- a/src/violethatch/platform/_following.py
+++ b/src/violethatch/platform/_following.py
@@ -12,7 +12,7 @@
 from .._followers import TableFollower
 from .._peer_datagrams import PeerDatagrams
 from .._peer_links import PeerLinks
-from .._placing import PlacementDuty
+from .._placement_controller import PlacementController
 from .._registration import INSTANCES_TABLE, Registration
 from .._relay_http import RelayClient, RelayListener
 from .._router import Router
@@ -63,7 +63,7 @@
         connections: ConnectionChoice,
         directory: InstanceDirectory,
         router: Router,
-        duty: PlacementDuty,
+        duty: PlacementController,
         rng: random.Random,
     ) -> None:
         self._settings = settings
--- a/src/violethatch/platform/_parts.py
+++ b/src/violethatch/platform/_parts.py
@@ -14,7 +14,7 @@
 
 from .._connection_choice import ConnectionChoice
 from .._health_checks import HealthCheckLoop
-from .._placing import PlacementDuty
+from .._placement_controller import PlacementController
 from .._router import Router
 from ..forwarding import ForwardClient
 from ..instances import InstanceDirectory, InstanceEntry
@@ -32,7 +32,7 @@
 
     router: Router
     store: Store
-    duty: PlacementDuty
+    duty: PlacementController
     following: Following
     health_checks: HealthCheckLoop
 
@@ -41,7 +41,7 @@
         return [
             self.router.apply_settings,
             lambda settings: self.store.take_settings(settings.store),
-            lambda settings: self.duty.take_policy(settings.policy),
+            lambda settings: self.duty.update_policy(settings.policy),
             self.following.take_settings,
         ]
 
@@ -72,7 +72,7 @@
         router.enable_forwarding(
             ForwardClient(kept, fresh), peers=directory.others, rng=rng
         )
-    duty = PlacementDuty(
+    duty = PlacementController(
         router.routing,
         store=store,
         holder=f"{settings.instance.id}/{secrets.token_hex(4)}",
--- a/src/violethatch/platform/_wire.py
+++ b/src/violethatch/platform/_wire.py
@@ -16,7 +16,7 @@
 from ..backends import BackendServer
 from ..desired import DesiredState
 from ..layers import LayerRange
-from ..slices import Steps, run_whole
+from ..slices import Steps, run_to_completion
 from ._desired_row import Config, PascalBody
 
 
@@ -73,7 +73,7 @@
     @property
     def content(self) -> bytes | None:
         """The row's value, or None if it is gone."""
-        return run_whole(self.content_steps())
+        return run_to_completion(self.content_steps())
 
     def content_steps(self) -> Steps[bytes | None]:
         """Return the row's value, or None if it is gone; decode it in short steps."""
@@ -145,7 +145,7 @@
         Raises:
             ValueError: It can't be understood.
         """
-        return run_whole(decoded(self._config, value).decoded())
+        return run_to_completion(decoded(self._config, value).decoded())
 
     def desired_steps(
         self, value: bytes, *, above: int | None
--- a/src/violethatch/slices.py
+++ b/src/violethatch/slices.py
@@ -25,7 +25,7 @@
 Steps = Generator[None, None, T]
 
 
-def run_whole(steps: Steps[T]) -> T:
+def run_to_completion(steps: Steps[T]) -> T:
     """Run work at one go; return its result.
 
     .. versionadded:: 26.7.0
@@ -50,21 +50,21 @@
 
     def __init__(self) -> None:
         self.count = 0
-        self.longest_s = 0.0
+        self.max_slice_s = 0.0
         self._began_s = clocks.now_s()
 
     @property
-    def took_s(self) -> float:
+    def elapsed_s(self) -> float:
         """The time since the work was begun, in seconds."""
         return clocks.now_s() - self._began_s
 
-    def run_whole(self, steps: Steps[T]) -> T:
+    def run_to_completion(self, steps: Steps[T]) -> T:
         """Run work at one go; return its result."""
-        with self.at_one_go():
-            return run_whole(steps)
+        with self.unsliced():
+            return run_to_completion(steps)
 
     @contextlib.contextmanager
-    def at_one_go(self) -> Iterator[None]:
+    def unsliced(self) -> Iterator[None]:
         """Count what is done at one go as a slice."""
         began_s = clocks.now_s()
         try:
@@ -90,4 +90,4 @@
     def _note(self, held_s: float) -> None:
         """Count a slice."""
         self.count += 1
-        self.longest_s = max(self.longest_s, held_s)
+        self.max_slice_s = max(self.max_slice_s, held_s)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -19,8 +19,8 @@
     _waiting_orders,
     clocks,
 )
+from violethatch._placement_controller import PlacementController
 from violethatch._placement_lease import LeaseWrite
-from violethatch._placing import PlacementDuty
 from violethatch.errors import TableUnavailableError
 from violethatch.ports import AnswerLostError, Row
 from violethatch.upstream import OrderAnswer, OrderOutcome
@@ -76,7 +76,7 @@
     client = FakeClient()
     client.reports = {one.id: report(layers=one.layers, sequence=4) for one in servers}
     routing = make_routing(client, *servers, rng=random.Random(1), **policy)
-    duty = PlacementDuty(
+    duty = PlacementController(
         routing,
         store=store,
         holder=name,
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -8,7 +8,7 @@
 import pytest
 
 from violethatch import clocks, slices
-from violethatch.slices import Slices, run_whole
+from violethatch.slices import Slices, run_to_completion
 
 
 def work(steps, *, step_s=0.0, done=None):
@@ -31,11 +31,11 @@
 
 class TestRunWhole:
     def test_result(self):
-        assert run_whole(work(3)) == 3
+        assert run_to_completion(work(3)) == 3
 
     def test_failure(self):
         with pytest.raises(ValueError):
-            run_whole(failing())
+            run_to_completion(failing())
 
 
 class TestSlices:
@@ -58,7 +58,7 @@
             await asyncio.sleep(0)
         assert set(range(1, 20)) <= set(seen)
         assert made.count == 21
-        assert made.longest_s >= 0.001
+        assert made.max_slice_s >= 0.001
 
     async def test_short_steps_share_a_slice(self):
         made = Slices()
