--- a/src/violethatch/slices.py
+++ b/src/violethatch/slices.py
@@ -43,7 +43,7 @@
 
     Attributes:
         count: How many there were.
-        longest_s: How long the longest one was, in seconds.
+        max_slice_s: How long the longest one was, in seconds.
 
     .. versionadded:: 26.7.0
     """
