--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -13,7 +13,6 @@
 from test_instances import directories, entry
 from violethatch import (
     _fleet_watch,
-    _placement_controller,
     _placement_lease,
     _placement_plans,
     _waiting_orders,
