--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -13,6 +13,7 @@
 from test_instances import directories, entry
 from violethatch import (
     _fleet_watch,
+    _placement_controller,
     _placement_lease,
     _placement_plans,
     _waiting_orders,
@@ -59,7 +60,7 @@
     """Let nobody wait for long."""
     monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
     monkeypatch.setattr(_placement_lease, "_SPREAD_S", 0.0)
-    monkeypatch.setattr(_placing, "_RESIGN_PAUSE_S", 0.0)
+    monkeypatch.setattr(_placement_controller, "_RESIGN_PAUSE_S", 0.0)
     monkeypatch.setattr(_fleet_watch, "_REPAIR_SETTLE_S", 0.0)
 
 
