--- a/src/violethatch/start_reservations.py
+++ b/src/violethatch/start_reservations.py
@@ -53,7 +53,7 @@
 #: and keepers count it from when they hear of it.
 TOLERANCE_S = 0.05
 #: Within how long after its time a second reservation is taken for a late copy of the
-#: first, in seconds.  A new one is at least `LEAST_S` after the claim of the first.
+#: first, in seconds.  A new one is at least `MIN_RETRY_S` after the claim of the first.
 _COPY_S = MIN_RETRY_S - 2 * TOLERANCE_S
 
 
--- a/tests/test_return_slots.py
+++ b/tests/test_return_slots.py
@@ -295,8 +295,10 @@
         """It is neither too early for a start nor beyond the caller's time."""
         slots = slots_of()
         for _ in range(200):
-            slot = slots.reserve(0, starts_per_s=40.0, most_s=most_s, now_s=100.0)
-            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, most_s))
+            slot = slots.reserve(
+                0, starts_per_s=40.0, max_delay_s=max_delay_s, now_s=100.0
+            )
+            latest_s = max(MIN_RETRY_S, min(MAX_RETRY_S, max_delay_s))
             assert slot.at_s - 100.0 >= MIN_RETRY_S - 1e-9
             assert slot.at_s - 100.0 <= latest_s + 1e-9
         assert not slot.is_reserved
