--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -61,7 +61,7 @@
     monkeypatch.setattr(_fleet_watch, "_SETTLE_S", 0.0)
     monkeypatch.setattr(_placement_lease, "_MAX_JITTER_S", 0.0)
     monkeypatch.setattr(_placement_controller, "_RESIGN_PAUSE_S", 0.0)
-    monkeypatch.setattr(_fleet_watch, "_REPAIR_REST_S", 0.0)
+    monkeypatch.setattr(_fleet_watch, "_REPAIR_SETTLE_S", 0.0)
 
 
 FLEET = [
