--- a/tests/broken.py
+++ b/tests/broken.py
@@ -14,7 +14,7 @@
     """Match results to steps by position only."""
     from violethatch import _engine_link
 
-    _engine_link._label = lambda message: ("", 0, message.position)
+    _engine_link._step_key = lambda message: ("", 0, message.position)
 
 
 def rebuilding():
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -21,7 +21,7 @@
     settings,
 )
 from routing_samples import desired_state, runner
-from test_placing import FLEET, FakeStore, make_duty, quick
+from test_placement_controller import FLEET, FakeStore, make_duty, quick
 from violethatch import clocks
 from violethatch._router import Router
 from violethatch.errors import DeadlineError, UnprovenStateError
