--- a/spec/attempts.pml
+++ b/spec/attempts.pml
@@ -71,7 +71,7 @@
   fi;
   expected = (rebuilding -> 0 : taken);
 
-wait: /* _engine_link.EngineLink._take_result, attempts.Attempt.accepts */
+wait: /* _engine_link.EngineLink._handle_result, attempts.Attempt.accepts */
   if
   :: results?who, e, p, length ->
        if
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -133,7 +133,7 @@
   :: said_not_run[me] = true; tries = 0; goto release /* no connection: 1303 */
   fi;
 
-record: /* _keyed.KeyedCalls._conclude with an outcome */
+record: /* _keyed.KeyedCalls._write_conclusion with an outcome */
   transact(DONE, wanted);
   if
   :: answer == 2 && seen_mine && !seen_own -> wanted = seen_version
@@ -147,7 +147,7 @@
   :: else -> goto finished
   fi;
 
-release: /* _keyed.KeyedCalls._conclude without an outcome */
+release: /* _keyed.KeyedCalls._write_conclusion without an outcome */
 #ifdef NO_REFUSAL
   if
   :: version > 0 && owner == me && state == RUNNING -> goto send
