--- a/src/violethatch/_claim_writer.py
+++ b/src/violethatch/_claim_writer.py
@@ -206,7 +206,7 @@
         if reply.failure == "unavailable":
             raise TableUnavailableError(retry_after_s=2.0)
         if reply.failure:
-            msg = "the zone's writer lost the table's response"
+            msg = "the zone's writer lost the answer"
             raise AnswerLostError(msg)
         return reply.row
 
--- a/src/violethatch/_engine_link.py
+++ b/src/violethatch/_engine_link.py
@@ -185,7 +185,7 @@
             response: wire.Cache | wire.ImportResult
             response = await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
-            raise StageFailedError(self.runner_id, "cache transfer timed out") from None
+            raise StageFailedError(self.runner_id, "cache not moved in time") from None
         finally:
             self._pending_transfers.pop(key, None)
         if response.refusal:
--- a/src/violethatch/_keyed.py
+++ b/src/violethatch/_keyed.py
@@ -158,7 +158,7 @@
             if verdict is Verdict.REPLAY:
                 return await self._load_answer(row)
             if verdict is Verdict.RECLAIM:
-                msg = "an earlier call with this key was not run; retry the request"
+                msg = "an earlier call with this key was not run; ask again"
                 raise ClaimRefusedError(msg, retry_after_s=0.0)
             if self._is_abandoned(row):
                 msg = "the instance that ran the earlier call is gone"
@@ -199,7 +199,7 @@
             try:
                 body = await self._objects.get(outcome["object_key"])
             except TableUnavailableError as error:
-                msg = f"the stored response can't be read: {error}"
+                msg = f"the stored answer can't be read: {error}"
                 raise MayHaveRunError(msg, retry_after_s=2.0) from error
         else:
             body = base64.b64decode(outcome["body"])
--- a/src/violethatch/_load_link.py
+++ b/src/violethatch/_load_link.py
@@ -219,7 +219,7 @@
         ValueError: The bytes are incomplete.
     """
     if len(data) % _SERVER.size:
-        msg = f"{len(data)} bytes are an incomplete list of servers"
+        msg = f"{len(data)} bytes are no whole servers"
         raise ValueError(msg)
     return {
         number: ServerTotals(streams, units * float(_UNIT_TOKEN_LAYERS))
--- a/src/violethatch/_open_answers.py
+++ b/src/violethatch/_open_answers.py
@@ -41,7 +41,7 @@
         except TimeoutError as error:
             if not timeout.expired():
                 raise
-            msg = "the instance shut down before the end of the response"
+            msg = "the instance had to stop before the answer's end"
             raise AnswerCutError(msg) from error
 
     def abort_all(self) -> None:
--- a/src/violethatch/_plain_calls.py
+++ b/src/violethatch/_plain_calls.py
@@ -294,7 +294,7 @@
         if not self._route.is_repeatable:
             if response.status in _NOT_EXECUTED_STATUSES:
                 # The call has run, which these statuses would deny.
-                msg = f"backend server responded {response.status}; call may have run"
+                msg = f"the backend server answered {response.status}; it may have run"
                 raise ServiceLostError(msg)
             return response
         if response.status < _MIN_SERVER_ERROR_STATUS:
@@ -445,7 +445,7 @@
                 server,
                 ServerFault.SILENT,
                 self._call.id,
-                f"no response in {waited_s:.2f} s",
+                f"no answer in {waited_s:.2f} s",
             )
 
     def _make_error(self) -> VioletHatchError:
@@ -454,7 +454,7 @@
             if deadlines.is_over(self._deadline_s):
                 limit = self._call.deadline_source(self._route.timeout_s)
                 return DeadlineError(f"no answer before the deadline: {limit}")
-            return ServiceLostError("the backend server's response was lost")
+            return ServiceLostError("the backend server's answer was lost")
         hold_error = self._work.held_back()
         if hold_error is not None:
             return hold_error
@@ -475,11 +475,11 @@
             servers, priority=self._admitted.priority
         )
         if backoff_s > 0.0:
-            msg = "all backend servers are in back-off"
+            msg = "all backend servers want nothing now"
             retry_after_s = routing.retry_after_s(requested_backoff_s=backoff_s)
             return OverloadedError(msg, retry_after_s=retry_after_s)
         if self._refused_by:
-            msg = "all backend servers are at capacity"
+            msg = "all backend servers are full"
             return OverloadedError(msg, retry_after_s=_AT_CAPACITY_RETRY_S)
-        msg = "no backend server accepted a connection"
+        msg = "no backend server could be connected to"
         return ServiceUnreachableError(msg, retry_after_s=_UNREACHABLE_RETRY_S)
--- a/src/violethatch/_router.py
+++ b/src/violethatch/_router.py
@@ -583,7 +583,7 @@
 
     def _make_unproven_error(self) -> UnprovenStateError:
         """Return the error of an instance that can't reach the store."""
-        msg = "the store could not be read recently"
+        msg = "the store could not be asked of late"
         retry_after_s = self.routing.retry_after_s(_STORE_OUTAGE_S)
         return UnprovenStateError(msg, retry_after_s=retry_after_s)
 
--- a/src/violethatch/_routing.py
+++ b/src/violethatch/_routing.py
@@ -424,7 +424,7 @@
 
     def _handle_silent_server(self, server: BackendServer) -> None:
         """Put a server into cooldown after a probe without a response."""
-        self.record_fault(server, ServerFault.SILENT, "", "no report received")
+        self.record_fault(server, ServerFault.SILENT, "", "gives no report")
 
     def _handle_runner_report(
         self, server: BackendServer, report: RunnerReport
--- a/src/violethatch/demand.py
+++ b/src/violethatch/demand.py
@@ -160,13 +160,13 @@
     workspaces_start = _COUNT_BYTES + data[0] * _KEY.size
     workspaces_bytes = len(data) - workspaces_start
     if workspaces_bytes < 0 or workspaces_bytes % _WORKSPACE.size:
-        msg = f"{len(data)} bytes with {data[0]} keys are an incomplete demand"
+        msg = f"{len(data)} bytes with {data[0]} keys are no complete demand"
         raise ValueError(msg)
     if (
         data[0] > MAX_SENT_KEYS
         or workspaces_bytes > MAX_SENT_WORKSPACES * _WORKSPACE.size
     ):
-        msg = f"{len(data)} bytes with {data[0]} keys are too large for a demand"
+        msg = f"{len(data)} bytes with {data[0]} keys are too large a demand"
         raise ValueError(msg)
     keys = _KEY.iter_unpack(data[_COUNT_BYTES:workspaces_start])
     workspaces = _WORKSPACE.iter_unpack(data[workspaces_start:])
--- a/src/violethatch/draining.py
+++ b/src/violethatch/draining.py
@@ -79,7 +79,7 @@
         .. versionadded:: 26.6.0
         """
         if self._is_closing:
-            return "the instance is closing its connections"
+            return "the instance closes its connections"
         if self.requested_s is None:
             return None
         elapsed_s = now_s - self.requested_s
@@ -87,7 +87,7 @@
         if is_stream:
             accept_s = min(_STREAM_ACCEPT_S, accept_s)
         if elapsed_s >= accept_s:
-            return f"the instance has been shutting down for {elapsed_s:.1f} s"
+            return f"the instance stops since {elapsed_s:.1f} s"
         quantile = 1.0 if elapsed_s >= _MAX_ONLY_AFTER_S else _RECENT_QUANTILE
         remaining_s = self.left_s(now_s=now_s)
         expected_s = min(limit_s, _quantile(recent_s, quantile))
--- a/src/violethatch/limits.py
+++ b/src/violethatch/limits.py
@@ -57,11 +57,11 @@
         self._refill(now_s)
         allowed = max(1, round(self.limits.concurrent * self.share))
         if self.in_flight >= allowed:
-            msg = f"{self.in_flight} in flight, {allowed} allowed on this instance"
+            msg = f"{self.in_flight} requests in flight, {allowed} allowed here"
             raise RateLimitedError(msg, retry_after_s=1.0)
         if self._tokens < 1.0:
             wait_s = (1.0 - self._tokens) / self._rate()
-            msg = f"instance rate limit of {self._rate():.3g} requests/s exceeded"
+            msg = f"rate of {self._rate():.3g} requests/s reached here"
             raise RateLimitedError(msg, retry_after_s=wait_s)
         self._tokens -= 1.0
         self.in_flight += 1
--- a/src/violethatch/upstream.py
+++ b/src/violethatch/upstream.py
@@ -132,7 +132,7 @@
     """
 
     def __init__(self, reason: str, left_s: float) -> None:
-        super().__init__(f"not sent: {reason}")
+        super().__init__(f"kept back: {reason}")
         self.reason = reason
         self.left_s = left_s
 
--- a/src/violethatch/work_ids.py
+++ b/src/violethatch/work_ids.py
@@ -106,5 +106,5 @@
     .. versionadded:: 26.4.0
     """
     if len(text) != 2 * (CALLER_BYTES + _WORK_BYTES) or not set(text) <= _HEX_DIGITS:
-        msg = f"malformed work id: {text[:40]!r}"
+        msg = f"{text[:40]!r} is no work's id"
         raise ValueError(msg)
